--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -137,8 +137,8 @@
         world.clock.now += world.times.report / 50
 
     found["submission, us"] = stand_in.microseconds(submit, 40)
-    leader.leadership.step()
-    leader.follow()
+    leader.leadership.run_once()
+    leader.watch_store()
     calls = {"check-in": "us", "poll": "us", "followed change": "us"}
     for name, value in costs(world).items():
         found[f"{name}, us" if name in calls else f"{name}, ms"] = value if name in calls else value / 1e3
@@ -149,7 +149,7 @@
     """What a node that starts now allocates for the records, in MB."""
     tracemalloc.start()
     node = world.start_node("holdfast-2")
-    node.follow()
+    node.watch_store()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return held / 2**20
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -40,7 +40,7 @@
 )
 from kelpjunction.ledger.audit import audit, replay  # noqa: E402
 from kelpjunction.ledger.reader import Base  # noqa: E402
-from kelpjunction.settings import Operators, load_operators  # noqa: E402
+from kelpjunction.settings import OperatorSettings, load_operator_settings  # noqa: E402
 
 HOUR = 3_600_000
 
@@ -86,8 +86,8 @@
     sys.exit(0 if all(p.holds for p in proofs) else 1)
 
 
-def _operators(enabled: bool) -> Operators:
-    usual = load_operators(None)
+def _operators(enabled: bool) -> OperatorSettings:
+    usual = load_operator_settings(None)
     return replace(usual, ledger=replace(usual.ledger, enabled=enabled, period=timedelta(seconds=2)))
 
 
@@ -108,8 +108,8 @@
     took = []
     for _ in range(5):
         began = time.process_time()
-        leader.leading.round()
-        leader.keep()
+        leader.leader_scheduler.round()
+        leader.update_ledger()
         took.append(time.process_time() - began)
     return statistics.median(took) * 1e3
 
@@ -124,7 +124,7 @@
         row = {"team": f"team-{n:04d}", "cpus": 2.0, "gpus": 0.0, "memory": 4.0, "ms": 1000 + n}
         leader.store.commit({}, {f"e/j-{n}": {"end": "done", "held": row}})
     world.run(150)
-    keeper, reign = leader.keeper, leader.leadership.reign
+    keeper, reign = leader.ledger_keeper, leader.leadership.leader_term
     took = []
     for _ in range(9):
         keeper.end()
@@ -186,7 +186,7 @@
     from kelpjunction.ledger.accounts import charged
     from kelpjunction.ledger.fading import FORMS, ONE, factor, full_use
 
-    usual, share = load_operators(None).ledger, 8_000
+    usual, share = load_operator_settings(None).ledger, 8_000
     half_life = usual.half_life // timedelta(milliseconds=1)
     full = full_use(share, half_life)
     figure = Figure(figsize=(10, 3.8), layout="constrained")
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -53,14 +53,14 @@
 
 def fleet(machines: int):
     """Views of a fleet in three zones; on nine of ten machines tasks of several sizes leave a little room."""
-    from kelpjunction.placement import View
+    from kelpjunction.placement import MachineView
     from kelpjunction.wire.messages import MachineType
 
     source = random.Random(machines)
     type_ = MachineType("box", 16, 0, 64, 40, 1.0, 1.0, 0.4, timedelta(seconds=30), ("a", "b", "c"))
     views = []
     for number in range(machines):
-        view = View(f"n-{number:06}", type_, "abc"[number % 3], False, 16.0, 0.0, 64.0)
+        view = MachineView(f"n-{number:06}", type_, "abc"[number % 3], False, 16.0, 0.0, 64.0)
         view.images = {f"img-{source.randrange(20)}" for _ in range(4)}
         if number % 10:
             while view.cpus > source.choice((0, 1, 2, 3)):
@@ -75,13 +75,13 @@
 def choice(views: list):
     """What a job's machines are chosen from, and how to undo a choice."""
     try:
-        from kelpjunction.placement import FreeRoom
+        from kelpjunction.placement import FreeCapacityIndex
     except ImportError:
         return views, lambda view: None
-    room = FreeRoom(views)
+    room = FreeCapacityIndex(views)
     for view in views:
-        view.scratched = room.mark
-    return room.everything(), room.mark
+        view.on_write = room.mark_dirty
+    return room.select_all(), room.mark_dirty
 
 
 def placed(views: list) -> dict[str, float]:
@@ -92,8 +92,8 @@
 
     def undo(job, chosen: list) -> None:
         for view in chosen:
-            view.give_back(job)
-            view.arriving.clear()
+            view.release(job)
+            view.fetching_images.clear()
             mark(view.name)
 
     def one(job) -> Callable[[], None]:
@@ -115,21 +115,23 @@
     world = World(machines=machines, capacity=machines, teams=teams)
     world.run(4)
     leader = world.leader()
-    leader.leading._every = timedelta()  # each of its rounds looks for room
+    leader.leader_scheduler._dispatch_interval = timedelta()  # each of its rounds looks for room
     world.submit("j-300000", node=leader.platform.node, shape="service", urgency="prod", run_s=1e6)
     world.run(2)  # the views are made
     for number in range(100):
         world.submit(f"j-1{number:05}", 3, node=leader.platform.node, shape="service", urgency="prod", run_s=1e6)
-    leader.follow()
+    leader.watch_store()
     began = time.process_time()
-    leader.leading.round()
+    leader.leader_scheduler.round()
     burst = (time.process_time() - began) * 1e3
     for _ in range(10):  # the budget refills while time passes; nobody starts what is handed over
         world.clock.now += timedelta(seconds=0.5)
-        leader.leadership.step()
-        leader.follow()
-        leader.leading.round()
-    assert len(leader.book.handed) >= 100, f"{len(leader.book.handed)} services are handed over"
+        leader.leadership.run_once()
+        leader.watch_store()
+        leader.leader_scheduler.round()
+    assert len(leader.job_index.dispatched_jobs) >= 100, (
+        f"{len(leader.job_index.dispatched_jobs)} services are handed over"
+    )
     key = next(key for key in world.store.data if key.startswith("l/machine/"))
     record, versions = leader.mirror.get(key).value, iter(range(10**9, 10**9 + 100))
     # One more job waits, which its team's limit keeps waiting, so that each round looks.
@@ -137,14 +139,14 @@
     world.submit("j-200001", node=leader.platform.node, crew="blue", run_s=1e6)
     for _ in range(3):
         world.clock.now += timedelta(seconds=0.5)
-        leader.leadership.step()
-        leader.follow()
-        leader.leading.round()
-    assert leader.book.waiting, "a job waits"
+        leader.leadership.run_once()
+        leader.watch_store()
+        leader.leader_scheduler.round()
+    assert leader.job_index.pending_jobs, "a job waits"
 
     def changed_round() -> None:
         leader.mirror.put(key, record, next(versions))
-        leader.leading.round()
+        leader.leader_scheduler.round()
 
     changed_round()
     return {"round, 100 new services": burst, "round, 100 handed jobs": milliseconds(changed_round, 10)}
--- a/benchmarks/round.py
+++ b/benchmarks/round.py
@@ -46,9 +46,9 @@
 def costs(world) -> dict[str, float]:
     """The calls of one node in a world that is at work."""
     leader = world.leader()
-    leader.leading._every = timedelta()  # each of its rounds looks for room
-    holder = next(n for n in world.nodes.values() if n is not leader and n.blocks.my_zones())
-    worker = next(w for w, _ in world.cloud.machines.values() if w.zone in holder.blocks.my_zones() and w.tasks)
+    leader.leader_scheduler._dispatch_interval = timedelta()  # each of its rounds looks for room
+    holder = next(n for n in world.nodes.values() if n is not leader and n.blocks.held_zones())
+    worker = next(w for w, _ in world.cloud.machines.values() if w.zone in holder.blocks.held_zones() and w.tasks)
     report = worker.report()
 
     def check_in() -> None:
@@ -63,8 +63,8 @@
         "check-in": timed(check_in, 200),
         "poll": timed(lambda: holder.intake.status(ref), 200),
         "followed change": timed(lambda: holder.mirror.put(key, record, next(versions)), 200),
-        "holder's idle round": timed(holder.holding.round, 50),
-        "leader's idle round": timed(leader.leading.round, 50),
+        "holder's idle round": timed(holder.holder_scheduler.round, 50),
+        "leader's idle round": timed(leader.leader_scheduler.round, 50),
         "waiting round": _with_waiting(world, leader),
     }
 
@@ -74,8 +74,8 @@
     for n in range(20):
         world.submit(f"j-3{n:05d}", 20, node=leader.platform.node, run_s=1e6, cpus=8.0, ram_gb=30.0)
     for _ in range(3):
-        leader.follow()
-        leader.leading.round()
+        leader.watch_store()
+        leader.leader_scheduler.round()
     key = next(e.key for e in leader.mirror.below("l/run/") if len(e.value["p"]) > 1)
     record = leader.mirror.get(key).value
     versions = iter(range(2 * 10**9, 2 * 10**9 + 1000))
@@ -83,7 +83,7 @@
     def changed_round() -> None:
         leader.mirror.put(key, record | {"p": record["p"][1:]}, next(versions))
         leader.mirror.put(key, record, next(versions))
-        leader.leading.round()
+        leader.leader_scheduler.round()
 
     return timed(changed_round, 20)
 
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -116,8 +116,8 @@
         world.store.handle("POST", "/commit", _commit(f"l/job/{spec['ref']}", {"spec": spec, "at": now.timestamp()}))
     gateway = world.start_gateway("gate-0")
     loaded = _timed(lambda: [gateway.follow(mirror) for mirror in (gateway.jobs, gateway.tickets)])
-    gateway.leadership.step()
-    gateway.leadership.step()
+    gateway.leadership.run_once()
+    gateway.leadership.run_once()
     took = _timed(lambda: [None for _ in iter(gateway.drive, False)])
     click.echo(f"{tickets} tickets half done: read in {loaded:.2f} s, all looked at on taking over in {took:.2f} s")
     for changed in (0, 1, 10, 100):
--- a/kelpjunction/blocks/__init__.py
+++ b/kelpjunction/blocks/__init__.py
@@ -19,11 +19,11 @@
 from datetime import timedelta
 
 from kelpjunction.blocks.events import GrantChange, GrantChanged
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
-from kelpjunction.leadership import LEAD_KEY, Reign
+from kelpjunction.leadership import LEADER_KEY, LeaderTerm
+from kelpjunction.rate_limiter import Purpose
 from kelpjunction.recorder import Recorder
-from kelpjunction.store.client import Ending, StoreClient
+from kelpjunction.store.client import CommitStatus, StoreClient
 from kelpjunction.store.mirror import Mirror
 
 log = logging.getLogger("blocks")
@@ -32,8 +32,8 @@
 BLOCK_PREFIX = "l/block/"
 
 
-STEADY_AFTER = timedelta(seconds=60)  # a node that ended more often than that is not relied on at once
-LONGEST_TRIAL = timedelta(seconds=30)
+RESTART_COUNT_RESET_INTERVAL = timedelta(seconds=60)  # a node that ended more often than that is not relied on at once
+MAX_RESTART_BACKOFF = timedelta(seconds=30)
 
 
 def block_key(zone: str) -> str:
@@ -54,16 +54,16 @@
 
 
 @dataclass(slots=True)
-class _Coming:
+class _ProcessStart:
     """When a node's process was first seen, and how many of its kind ended shortly before."""
 
     incarnation: str
     at: timedelta
     restarts: int = 0
 
-    def steady(self, now: timedelta) -> bool:
+    def is_stable(self, now: timedelta) -> bool:
         """Whether it may be given blocks: at once after a restart, later and later after several."""
-        return not self.restarts or now - self.at >= min(LONGEST_TRIAL, timedelta(seconds=2**self.restarts))
+        return not self.restarts or now - self.at >= min(MAX_RESTART_BACKOFF, timedelta(seconds=2**self.restarts))
 
 
 class Blocks:
@@ -78,7 +78,7 @@
         self._mirror = mirror
         self._clock = clock
         self.grants: dict[str, Grant] = {}
-        self._comings: dict[str, _Coming] = {}  # as the leader saw the nodes come
+        self._process_starts: dict[str, _ProcessStart] = {}  # as the leader saw the nodes come
         self.on_gain: Callable[[str], None] = lambda zone: None
         self.on_loss: Callable[[str], None] = lambda zone: None
         mirror.listen(BLOCK_PREFIX, self._changed)
@@ -86,7 +86,7 @@
     def _changed(self, key: str, value: dict | None, version: int) -> None:
         zone = key.removeprefix(BLOCK_PREFIX)
         old = self.grants.get(zone)
-        had, same = self.mine(zone) is not None, False
+        had, same = self.own_grant(zone) is not None, False
         if value is None:
             self.grants.pop(zone, None)
         else:
@@ -99,7 +99,7 @@
             same = same and (old.token == token or value.get("raised", False))
             since = old.since if same else self._clock.steady()
             self.grants[zone] = Grant(zone, *holder, value["term"], token, version, since)
-        has = self.mine(zone) is not None
+        has = self.own_grant(zone) is not None
         if had and not same:
             self._note(GrantChange.LOST, old)
             self.on_loss(zone)
@@ -111,7 +111,7 @@
 
     def _note(self, change: GrantChange, grant: Grant) -> None:
         """Keep a change of what this node holds, with the revision up to which it has read."""
-        self._recorder.note(
+        self._recorder.record(
             GrantChanged(
                 change, grant.zone, grant.holder, grant.incarnation, grant.term, grant.token, grant.version,
                 self._mirror.revision or 0,
@@ -122,32 +122,32 @@
         """A worker of a block that this node holds has seen a higher token than its grant's."""
         self._note(GrantChange.OVERTAKEN, self.grants[zone])
 
-    def mine(self, zone: str) -> Grant | None:
+    def own_grant(self, zone: str) -> Grant | None:
         """The grant of a block that this very process holds."""
         grant = self.grants.get(zone)
         return grant if grant is not None and (grant.holder, grant.incarnation) == self._me else None
 
-    def my_zones(self) -> list[str]:
-        return [zone for zone in self.grants if self.mine(zone) is not None]
+    def held_zones(self) -> list[str]:
+        return [zone for zone in self.grants if self.own_grant(zone) is not None]
 
     def holder(self, zone: str) -> str | None:
         grant = self.grants.get(zone)
         return grant.holder if grant else None
 
-    def token(self, zone: str) -> int | None:
-        grant = self.mine(zone)
+    def own_token(self, zone: str) -> int | None:
+        grant = self.own_grant(zone)
         return grant.token if grant else None
 
-    def raise_tokens(self, zones: list[str]) -> bool:
+    def issue_new_tokens(self, zones: list[str]) -> bool:
         """As holder, take new tokens for these blocks: nothing sent under the old ones counts any more."""
         holders = {}
         for zone in zones:
-            grant = self.mine(zone)
+            grant = self.own_grant(zone)
             if grant is not None:
                 holders[zone] = (grant.holder, grant.incarnation, grant.term)
         return self._write(holders, {}, raised=True) if holders else True
 
-    def assign(self, reign: Reign, zones: list[str], members: dict[str, dict]) -> None:
+    def assign(self, leader_term: LeaderTerm, zones: list[str], members: dict[str, dict]) -> None:
         """As leader, grant each block without a live holder, and level blocks out among the live nodes.
 
         A node that reaches no machine counts as little as a dead one, unless
@@ -178,8 +178,8 @@
         if moves:
             most = max(1, self._store.limits.txn_ops - 1)
             some = dict(list(moves.items())[:most])
-            holders = {z: (n, members[n]["incarnation"], reign.term) for z, n in some.items()}
-            if self._write(holders, {LEAD_KEY: reign.lead_version}):
+            holders = {z: (n, members[n]["incarnation"], leader_term.term) for z, n in some.items()}
+            if self._write(holders, {LEADER_KEY: leader_term.leader_key_version}):
                 for zone, name in some.items():
                     log.info("block %s granted to %s under token %d", zone, name, self.grants[zone].token)
 
@@ -187,11 +187,11 @@
         """The nodes without those that end again and again: each block given to one stood without a holder."""
         now = self._clock.steady()
         for name, member in members.items():
-            last = self._comings.get(name)
+            last = self._process_starts.get(name)
             if last is None or last.incarnation != member["incarnation"]:
-                soon = last is not None and now - last.at < STEADY_AFTER
-                self._comings[name] = _Coming(member["incarnation"], now, last.restarts + 1 if soon else 0)
-        return {n: m for n, m in members.items() if self._comings[n].steady(now)}
+                soon = last is not None and now - last.at < RESTART_COUNT_RESET_INTERVAL
+                self._process_starts[name] = _ProcessStart(member["incarnation"], now, last.restarts + 1 if soon else 0)
+        return {n: m for n, m in members.items() if self._process_starts[n].is_stable(now)}
 
     def _best(self, zone: str, members: dict[str, dict], load: Counter) -> str:
         """The live node for a block: one in its zone if that has no more than its share, else the least loaded."""
@@ -214,9 +214,9 @@
             grant = {"holder": holder, "incarnation": incarnation, "term": term, "token": token}
             puts[block_key(zone)] = grant | ({"raised": True} if raised else {})
         puts[TOKEN_KEY] = token
-        outcome = self._store.commit(guards, puts, purpose=Purpose.HOLD)
-        if outcome.ending is not Ending.APPLIED:
-            log.info("blocks %s: %s", ",".join(holders), outcome.ending.value)
+        outcome = self._store.commit(guards, puts, purpose=Purpose.COORDINATION)
+        if outcome.status is not CommitStatus.APPLIED:
+            log.info("blocks %s: %s", ",".join(holders), outcome.status.value)
             return False
         self._mirror.put_outcome(puts, (), outcome.revision)
         return True
--- a/kelpjunction/changes.py
+++ b/kelpjunction/changes.py
@@ -5,18 +5,18 @@
 """
 
 
-class Changes:
+class ChangeTracker:
     """Tells each follower which names have changed since it last emptied its set."""
 
     def __init__(self) -> None:
         self._followers: list[set[str]] = []
 
-    def follow(self) -> set[str]:
+    def subscribe(self) -> set[str]:
         """A set that every changed name is put into; its owner takes names out."""
         names: set[str] = set()
         self._followers.append(names)
         return names
 
-    def note(self, name: str) -> None:
+    def mark_changed(self, name: str) -> None:
         for names in self._followers:
             names.add(name)
--- a/kelpjunction/cli/jobs.py
+++ b/kelpjunction/cli/jobs.py
@@ -10,7 +10,7 @@
 import click
 import orjson
 
-from kelpjunction.transport import HttpTransport, NoAnswer, Reply
+from kelpjunction.transport import HttpTransport, NoResponse, Reply
 from kelpjunction.wire import users
 
 DEFAULT_NODES = "127.0.0.1:18080,127.0.0.1:18180,127.0.0.1:18280"
@@ -50,7 +50,7 @@
             for address in self._addresses:
                 try:
                     reply = self._transport.request(address, method, path, body, ANSWER_WITHIN)
-                except NoAnswer as error:
+                except NoResponse as error:
                     why = str(error)
                     continue
                 if reply.status not in (429, 503, 504):
--- a/kelpjunction/cli/lab.py
+++ b/kelpjunction/cli/lab.py
@@ -7,8 +7,8 @@
 import click
 import orjson
 
-from kelpjunction.settings import SettingsError, load_operators
-from kelpjunction.transport import HttpTransport, NoAnswer
+from kelpjunction.settings import SettingsError, load_operator_settings
+from kelpjunction.transport import HttpTransport, NoResponse
 
 DEFAULT_PORT = 18000
 _port = click.option(
@@ -23,7 +23,7 @@
 def _settings(operators: str | None):
     """The operators' settings, checked before anything starts."""
     try:
-        return load_operators(operators)
+        return load_operator_settings(operators)
     except SettingsError as error:
         click.echo(f"kelpjunction: {error}", err=True)
         sys.exit(2)
@@ -179,7 +179,7 @@
     method, body = ("GET", None) if fields is None else ("POST", orjson.dumps(fields))
     try:
         reply = HttpTransport(1).request(f"127.0.0.1:{port + CONTROL_PORT}", method, "/", body, timedelta(seconds=5))
-    except NoAnswer:
+    except NoResponse:
         click.echo(f"kelpjunction: no lab is up at port {port}; `kelpjunction lab up` starts one", err=True)
         sys.exit(3)
     if reply.status != 200:
--- a/kelpjunction/cli/ledger.py
+++ b/kelpjunction/cli/ledger.py
@@ -9,8 +9,8 @@
 import orjson
 
 from kelpjunction.clock import SystemClock
-from kelpjunction.settings import SettingsError, StoreLimits, load_platform
-from kelpjunction.store.client import StoreClient, StoreDown
+from kelpjunction.settings import SettingsError, StoreLimits, load_platform_settings
+from kelpjunction.store.client import StoreClient, StoreUnavailable
 from kelpjunction.transport import HttpTransport
 
 LAB_STATE = "127.0.0.1:18379"
@@ -51,7 +51,7 @@
     address, limits = state, CAREFUL
     if config is not None:
         try:
-            platform = load_platform(config)
+            platform = load_platform_settings(config)
         except SettingsError as error:
             _fail(2, error)
         address, limits = platform.store_address, platform.store
@@ -67,7 +67,7 @@
         return read(_store(state, config)) if file is None else _extra("archive").read(file)
     except Malformed as error:
         _fail(2 if file else 1, error)
-    except StoreDown as error:
+    except StoreUnavailable as error:
         _fail(3, f"no state service answers at {state}: {error}")
 
 
@@ -189,6 +189,6 @@
         count = roll_up(_store(state, config), replay(again.base, again.entries).base)
     except Malformed as error:
         _fail(1, error)
-    except StoreDown as error:
+    except StoreUnavailable as error:
         _fail(3, f"no state service answers at {state}: {error}; run the command again")
     click.echo(f"{len(old)} entries in {target}; {count} deleted from the state service")
--- a/kelpjunction/cli/serve.py
+++ b/kelpjunction/cli/serve.py
@@ -8,7 +8,13 @@
 import click
 
 from kelpjunction import __version__, logs
-from kelpjunction.settings import Operators, Platform, SettingsError, load_operators, load_platform
+from kelpjunction.settings import (
+    OperatorSettings,
+    PlatformSettings,
+    SettingsError,
+    load_operator_settings,
+    load_platform_settings,
+)
 
 OPERATORS_VARIABLE = "KELPJUNCTION_OPERATORS"
 _config = click.option("--config", required=True, type=click.Path(), help="The platform's settings file (TOML).")
@@ -20,9 +26,9 @@
 )
 
 
-def _load(config: str, operators: str | None) -> tuple[Platform, Operators]:
+def _load(config: str, operators: str | None) -> tuple[PlatformSettings, OperatorSettings]:
     try:
-        return load_platform(config), load_operators(operators)
+        return load_platform_settings(config), load_operator_settings(operators)
     except SettingsError as error:
         click.echo(f"kelpjunction: {error}", err=True)
         sys.exit(2)
--- a/kelpjunction/cli/ticket.py
+++ b/kelpjunction/cli/ticket.py
@@ -122,11 +122,11 @@
       kelpjunction ticket serve --config node.toml --settings deploy/tickets.json
     """
     from kelpjunction import logs
-    from kelpjunction.settings import SettingsError, load_operators, load_platform
+    from kelpjunction.settings import SettingsError, load_operator_settings, load_platform_settings
     from kelpjunction.tickets.classes import load_tickets
 
     try:
-        platform, operators, own = load_platform(config), load_operators(None), load_tickets(settings)
+        platform, operators, own = load_platform_settings(config), load_operator_settings(None), load_tickets(settings)
     except SettingsError as error:
         _fail(2, error)
     if only_check:
--- a/kelpjunction/clock.py
+++ b/kelpjunction/clock.py
@@ -14,8 +14,8 @@
 
 ZERO = timedelta()
 MILLISECOND = timedelta(milliseconds=1)
-BEAT = timedelta(milliseconds=250)
-ABSENT_AFTER = timedelta(seconds=2)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=250)
+PAUSE_DETECTION_THRESHOLD = timedelta(seconds=2)
 
 
 class Clock(Protocol):
@@ -36,8 +36,8 @@
         return datetime.now(UTC)
 
 
-class Presence:
-    """Since when this process has run without standing still: `beat` wants to be called every `BEAT`.
+class PauseDetector:
+    """Since when this process ran without standing still: `heartbeat` wants to be called every `HEARTBEAT_INTERVAL`.
 
     A process may be stopped for seconds or minutes while its clocks run on.
     Whoever judges others by their silence must not count that time.
@@ -45,13 +45,13 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._beat_at = self.since = clock.steady()
+        self._beat_at = self.running_since = clock.steady()
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         now = self._clock.steady()
-        if now - self._beat_at > ABSENT_AFTER:
+        if now - self._beat_at > PAUSE_DETECTION_THRESHOLD:
             log.info("this node stood still for %.1f s", (now - self._beat_at).total_seconds())
-            self.since = now
+            self.running_since = now
         self._beat_at = now
 
 
--- a/kelpjunction/daemon.py
+++ b/kelpjunction/daemon.py
@@ -11,42 +11,42 @@
 from gevent.pool import Pool
 
 from kelpjunction.blocks import BLOCK_PREFIX, Blocks
-from kelpjunction.changes import Changes
-from kelpjunction.clock import BEAT, ZERO, Clock, Presence, SystemClock, seconds
+from kelpjunction.changes import ChangeTracker
+from kelpjunction.clock import HEARTBEAT_INTERVAL, ZERO, Clock, PauseDetector, SystemClock, seconds
 from kelpjunction.fleet.cloud import Fleet
+from kelpjunction.fleet.machine_monitor import MachineMonitor
 from kelpjunction.fleet.machines import Inventory
-from kelpjunction.fleet.watch import Watch
-from kelpjunction.http import Application, PeerApplication, ask_peer, server
+from kelpjunction.http import Application, SiblingApplication, server, sibling_is_fresh
 from kelpjunction.intake import Intake
-from kelpjunction.jobs.blame import Blame
-from kelpjunction.jobs.book import HAND_PREFIX, JOB_PREFIX, OVER_PREFIX, RUN_PREFIX, Book
-from kelpjunction.jobs.holding import Holding
-from kelpjunction.jobs.leading import Leading
-from kelpjunction.jobs.records import Records
-from kelpjunction.leadership import LEAD_KEY, Leadership, Reign
+from kelpjunction.jobs.failure_attribution import FailureAttribution
+from kelpjunction.jobs.holder_scheduler import HolderScheduler
+from kelpjunction.jobs.job_index import DISPATCH_PREFIX, JOB_PREFIX, RUN_PREFIX, SETTLED_PREFIX, JobIndex
+from kelpjunction.jobs.leader_scheduler import LeaderScheduler
+from kelpjunction.jobs.records import RecordWriter
+from kelpjunction.leadership import LEADER_KEY, Leadership, LeaderTerm
 from kelpjunction.recorder import Recorder
-from kelpjunction.renewal import Renewal
-from kelpjunction.settings import Operators, Platform
-from kelpjunction.store.client import StoreClient, StoreDown
-from kelpjunction.store.mirror import LIVE, Mirror, Verifier
+from kelpjunction.renewal import LeaseRenewalPolicy
+from kelpjunction.settings import OperatorSettings, PlatformSettings
+from kelpjunction.store.client import StoreClient, StoreUnavailable
+from kelpjunction.store.mirror import LIVE_PREFIX, Mirror, Verifier
 from kelpjunction.transport import HttpTransport, Transport
 from kelpjunction.wire import workers
-from kelpjunction.workers.roster import Roster
+from kelpjunction.workers.registry import WorkerRegistry
 
 log = logging.getLogger("daemon")
 
-COALESCE = timedelta(milliseconds=50)
-LONGEST_PAUSE = timedelta(milliseconds=250)
+MIN_ROUND_PAUSE = timedelta(milliseconds=50)
+MAX_ROUND_PAUSE = timedelta(milliseconds=250)
 PAUSE_AFTER_TROUBLE = timedelta(milliseconds=250)
 FEW_SOCKETS = 20
 GC_THRESHOLDS = (20_000, 20, 50)
-PEER_EVERY = timedelta(seconds=1)
-KEEP_EVERY = timedelta(seconds=1)
-IDLE_FOLLOW = timedelta(milliseconds=200)  # between two watches of a node that holds no block and does not lead
+SIBLING_CHECK_INTERVAL = timedelta(seconds=1)
+LEDGER_INTERVAL = timedelta(seconds=1)
+IDLE_WATCH_INTERVAL = timedelta(milliseconds=200)  # between two watches of a node that holds no block and does not lead
 WATCH_SHARE = 0.3  # of the state service's requests: what all nodes' watches may take together
-COMPARE_SHARE = 0.15  # and what their comparisons may
+VERIFIER_REQUEST_FRACTION = 0.15  # and what their comparisons may
 STOPS_EVERY = timedelta(milliseconds=250)
-SHORT_PAUSE = timedelta(milliseconds=150)  # before the next round where the budget put something off
+DEFERRED_ROUND_INTERVAL = timedelta(milliseconds=150)  # before the next round where the budget put something off
 
 
 def sleep(duration: timedelta) -> None:
@@ -58,11 +58,11 @@
 
     def __init__(
         self,
-        platform: Platform,
-        operators: Operators,
+        platform: PlatformSettings,
+        operators: OperatorSettings,
         transport: Transport,
         worker_transport: Transport,
-        follow_transport: Transport,
+        watch_transport: Transport,
         clock: Clock,
         spawn: Callable,
         pause: Callable[[timedelta], None],
@@ -74,26 +74,28 @@
         self.recorder = Recorder(clock)
         self._transport = transport
         self.wake = Event()
-        self.presence = Presence(clock)
+        self.pause_detector = PauseDetector(clock)
         self.store = StoreClient(transport, platform.store_address, platform.store, clock, pause, share=1.0)
-        renewal = Renewal(platform.workers.lease, platform.workers.cancel, operators.block_lease)
-        self.mirror = Mirror(self.store, clock, follow_transport, watch=renewal.watch)
-        self.mirror.on_others = lambda changes: self.store.budget.saw_others(changes, clock.steady())
-        changes = Changes()
-        self.book = Book(changes)
-        blame = Blame(self.book, clock)
-        self.mirror.listen(LIVE, self.book.changed)
+        renewal = LeaseRenewalPolicy(platform.workers.lease, platform.workers.cancel, operators.block_lease)
+        self.mirror = Mirror(self.store, clock, watch_transport, watch=renewal.watch_timeout)
+        self.mirror.on_foreign_changes = lambda changes: self.store.rate_limiter.on_foreign_changes(
+            changes, clock.steady()
+        )
+        changes = ChangeTracker()
+        self.job_index = JobIndex(changes)
+        blame = FailureAttribution(self.job_index, clock)
+        self.mirror.listen(LIVE_PREFIX, self.job_index.changed)
         requests = platform.store.rps / (len(platform.siblings) + 1)
         self.watch_rate = requests * WATCH_SHARE
-        self.verifier = Verifier(self.store, spawn, pause, requests * COMPARE_SHARE)
+        self.verifier = Verifier(self.store, spawn, pause, requests * VERIFIER_REQUEST_FRACTION)
         incarnation = f"{random_source.getrandbits(64):016x}"
         self.leadership = Leadership(
             platform, operators, self.store, self.mirror, clock, incarnation, self._reign_changed, self.recorder
         )
         self.blocks = Blocks(platform.node, incarnation, self.store, self.mirror, clock, self.recorder)
-        self.roster = Roster(
+        self.worker_registry = WorkerRegistry(
             platform.workers,
-            self.book,
+            self.job_index,
             self.blocks,
             self.leadership,
             worker_transport,
@@ -104,40 +106,49 @@
             self.recorder,
         )
         self.inventory = Inventory(self.mirror, self.blocks, clock, changes)
-        self.watch = Watch(
+        self.machine_monitor = MachineMonitor(
             platform.workers,
             self.store,
             self.mirror,
             self.blocks,
-            self.book,
-            self.roster,
+            self.job_index,
+            self.worker_registry,
             self.inventory,
             clock,
             blame,
-            self.presence,
+            self.pause_detector,
             spawn_exchange,
             random_source,
             changes,
         )
-        self.leadership.is_deaf = lambda: self.watch.deaf
-        self.watch.on_deaf = self.leadership.step
+        self.leadership.no_machine_reachable = lambda: self.machine_monitor.no_machine_reachable
+        self.machine_monitor.on_reachability_change = self.leadership.run_once
         self.fleet = Fleet(
-            platform, operators, self.store, self.mirror, self.book, blame, self.inventory, transport, clock, pause
+            platform, operators, self.store, self.mirror, self.job_index, blame, self.inventory, transport, clock, pause
         )
         self.intake = Intake(
-            platform, self.store, self.mirror, self.verifier, self.book, self.fleet, clock, self.recorder
+            platform, self.store, self.mirror, self.verifier, self.job_index, self.fleet, clock, self.recorder
         )
-        self.records = Records(self.store, self.mirror, self.book, clock, self.intake.remember)
-        self.holding = Holding(
-            platform, operators, self.records, self.book, self.blocks, self.roster, self.fleet, blame, clock, changes
+        self.record_writer = RecordWriter(self.store, self.mirror, self.job_index, clock, self.intake.remember)
+        self.holder_scheduler = HolderScheduler(
+            platform,
+            operators,
+            self.record_writer,
+            self.job_index,
+            self.blocks,
+            self.worker_registry,
+            self.fleet,
+            blame,
+            clock,
+            changes,
         )
-        self.leading = Leading(
+        self.leader_scheduler = LeaderScheduler(
             platform,
             operators,
             self.store,
             self.mirror,
-            self.records,
-            self.book,
+            self.record_writer,
+            self.job_index,
             self.leadership,
             self.blocks,
             self.fleet,
@@ -145,43 +156,43 @@
             clock,
             changes,
         )
-        self.keeper = None
+        self.ledger_keeper = None
         if operators.ledger.enabled:
             # Imported by nodes that keep a ledger only.
             from kelpjunction.ledger.keeper import Keeper
 
-            self.keeper = Keeper(
-                platform, operators.ledger, self.store, self.mirror, self.book, clock, follow_transport
+            self.ledger_keeper = Keeper(
+                platform, operators.ledger, self.store, self.mirror, self.job_index, clock, watch_transport
             )
-            self.leading.factor = self.keeper.factor
+            self.leader_scheduler.team_weight_factor = self.ledger_keeper.factor
         self.blocks.on_gain = self._gain
-        self.blocks.on_loss = self.roster.clear
-        for prefix in (JOB_PREFIX, RUN_PREFIX, HAND_PREFIX, OVER_PREFIX, BLOCK_PREFIX):
+        self.blocks.on_loss = self.worker_registry.clear
+        for prefix in (JOB_PREFIX, RUN_PREFIX, DISPATCH_PREFIX, SETTLED_PREFIX, BLOCK_PREFIX):
             self.mirror.listen(prefix, lambda key, value, version: self.wake.set())
         self.inventory.on_change = self.wake.set
-        self._begun: Reign | None = None
+        self._begun: LeaderTerm | None = None
         self.rounds = 0
 
-    def _reign_changed(self, reign: Reign | None) -> None:
-        self.fleet.begin(reign)
-        if reign is None and self.keeper is not None:
-            self.keeper.end()
+    def _reign_changed(self, leader_term: LeaderTerm | None) -> None:
+        self.fleet.begin(leader_term)
+        if leader_term is None and self.ledger_keeper is not None:
+            self.ledger_keeper.end()
         self.wake.set()
 
     def _gain(self, zone: str) -> None:
-        self.holding.gain(zone)
-        self.watch.gain(zone)
+        self.holder_scheduler.on_block_gained(zone)
+        self.machine_monitor.on_block_gained(zone)
 
     @property
     def busy(self) -> bool:
         """Whether this node leads or holds a block."""
-        return self.leadership.reign is not None or bool(self.blocks.my_zones())
+        return self.leadership.leader_term is not None or bool(self.blocks.held_zones())
 
-    def follow(self) -> bool:
+    def watch_store(self) -> bool:
         """Take in the next changes of the live keys; False if the state service was of no use."""
         try:
-            self.mirror.follow_once()
-        except StoreDown as error:
+            self.mirror.watch_once()
+        except StoreUnavailable as error:
             log.debug("follow: %s", error)
             return False
         return True
@@ -192,62 +203,62 @@
         if self.inventory.gone(report.machine):
             return 503, b"{}"  # held up in a cut: there is no such machine any more
         holder = self.blocks.holder(report.zone)
-        if self.blocks.mine(report.zone) is None:
+        if self.blocks.own_grant(report.zone) is None:
             # Who is out of touch names nobody: two such nodes once sent the
             # workers of both to and fro until their leases ended.
             known = holder != self.platform.node and self.intake.fresh
             return 421, workers.redirect_answer(holder if known else None)
-        if not self.intake.fresh and self.intake.siblings_fresh:
+        if not self.intake.fresh and self.intake.sibling_has_fresh_mirror:
             # This node alone is out of touch, so its blocks will be or are
             # another's: the worker should look for that one at once.
             return 503, b"{}"
-        return self.roster.check_in(report)
+        return self.worker_registry.check_in(report)
 
     def ask_siblings(self) -> None:
         """While out of touch, ask the siblings whether they are too."""
-        self.leadership.note_touch()
+        self.leadership.log_renewal_change()
         if self.intake.fresh:
-            self.intake.siblings_fresh = False
+            self.intake.sibling_has_fresh_mirror = False
             return
-        asked = (ask_peer(self._transport, sibling.address) for sibling in self.platform.siblings)
+        asked = (sibling_is_fresh(self._transport, sibling.address) for sibling in self.platform.siblings)
         # One cut off from its siblings too has nobody to ask; its workers may know.
-        self.intake.siblings_fresh = self.roster.overtaken or any(asked)
+        self.intake.sibling_has_fresh_mirror = self.worker_registry.higher_token_seen or any(asked)
 
-    def stop(self) -> None:
+    def stop_tasks(self) -> None:
         """Tell workers to stop what must stop, whatever a round waits for."""
-        if self.mirror.loaded and self.blocks.my_zones():
-            self.holding.stop_what_must()
+        if self.mirror.loaded and self.blocks.held_zones():
+            self.holder_scheduler.stop_required()
 
-    def keep(self) -> None:
+    def update_ledger(self) -> None:
         """Close what is due in the ledger, if this node leads and keeps one."""
-        if self.keeper is None:
+        if self.ledger_keeper is None:
             return
         try:
-            self.keeper.step()
-        except StoreDown as error:
+            self.ledger_keeper.step()
+        except StoreUnavailable as error:
             log.debug("the ledger is closed later: %s", error)
 
     def round(self) -> bool:
         """One round as holder and, if this node leads, as leader; whether another should follow at once."""
         try:
-            if not self.mirror.loaded or not self.records.settled():
+            if not self.mirror.loaded or not self.record_writer.resolve_unknown_outcomes():
                 return False
             self.rounds += 1
-            self.records.short = False
-            again = self.holding.round()
-            if self.watch.changed:
-                self.watch.publish()
-            reign = self.leadership.reign
+            self.record_writer.work_deferred = False
+            again = self.holder_scheduler.round()
+            if self.machine_monitor.changed:
+                self.machine_monitor.publish()
+            reign = self.leadership.leader_term
             if reign is not None:
                 if self._begun is not reign:
-                    if self.keeper is not None:
-                        self.keeper.begin(reign)
-                    self.leading.begin(reign)
+                    if self.ledger_keeper is not None:
+                        self.ledger_keeper.begin(reign)
+                    self.leader_scheduler.begin(reign)
                     self._begun = reign
-                again = self.leading.round() or again
+                again = self.leader_scheduler.round() or again
             # What the budget has put off is not asked for again at once.
-            return again and not self.records.short
-        except StoreDown as error:
+            return again and not self.record_writer.work_deferred
+        except StoreUnavailable as error:
             log.debug("round given up: %s", error)
             return False
 
@@ -255,7 +266,7 @@
 class Daemon:
     """A node with its servers and loops."""
 
-    def __init__(self, platform: Platform, operators: Operators, clock: Clock | None = None) -> None:
+    def __init__(self, platform: PlatformSettings, operators: OperatorSettings, clock: Clock | None = None) -> None:
         self._platform = platform
         self._operators = operators
         self._clock = clock or SystemClock()
@@ -275,11 +286,11 @@
             sleep,
             self._random,
         )
-        self.node.mirror.listen(LEAD_KEY, self._lead_changed)
+        self.node.mirror.listen(LEADER_KEY, self._lead_changed)
 
     def term(self) -> int | None:
         """The term this node leads in, or None."""
-        reign = self.node.leadership.reign
+        reign = self.node.leadership.leader_term
         return None if reign is None else reign.term
 
     def dump_decisions(self) -> None:
@@ -289,13 +300,15 @@
     def run_forever(self) -> None:
         """Serve until the process is killed."""
         incoming = self._platform.max_sockets - self._outgoing - 2 * FEW_SOCKETS
-        users = server(self._platform.listen, Application(self.node.intake, self.node.check_in), Pool(incoming))
+        users = server(self._platform.listen_address, Application(self.node.intake, self.node.check_in), Pool(incoming))
         metrics = None
         if self._operators.metrics:
             from kelpjunction.metrics import Metrics
 
             metrics = Metrics(self.node)
-        peers = server(self._platform.internal, PeerApplication(self.node.intake, metrics), Pool(FEW_SOCKETS))
+        peers = server(
+            self._platform.internal_address, SiblingApplication(self.node.intake, metrics), Pool(FEW_SOCKETS)
+        )
         users.start()
         peers.start()
         # A node makes much garbage and few cycles: looking for them as often
@@ -303,15 +316,15 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        log.info("%s serves users and workers on %s", self._platform.node, self._platform.listen)
+        log.info("%s serves users and workers on %s", self._platform.node, self._platform.listen_address)
         renewal = self.node.leadership.renewal
-        if renewal.tight:
+        if renewal.grace_period_short:
             log.warning(
                 "cancel_s is little above lease_s: %.1f s without the state service end leases, and with them tasks",
-                renewal.grace.total_seconds(),
+                renewal.grace_period.total_seconds(),
             )
         loops = [self._follow, self._lead, self._rounds, self._stops, self._cloud, self._watch, self._peers, self._beat]
-        if self.node.keeper is not None:
+        if self.node.ledger_keeper is not None:
             loops.append(self._keep)
         # A loop that ends has a defect; the node goes on without hiding it.
         gevent.joinall([gevent.spawn(self._guard, loop) for loop in loops])
@@ -328,58 +341,58 @@
     def _lead_changed(self, key: str, value: dict | None, version: int) -> None:
         if value is None:
             # Nobody leads: run at once, a little apart from the others.
-            gevent.spawn_later(self._random.uniform(0, 0.05), self.node.leadership.step)
+            gevent.spawn_later(self._random.uniform(0, 0.05), self.node.leadership.run_once)
 
     def _follow(self) -> None:
         """Follow, at a pace: each change ends a watch, and opening the next is a request too."""
         began = self._clock.steady()
-        heard = self.node.follow()
+        heard = self.node.watch_store()
         least = seconds(1 / self.node.watch_rate) if heard else PAUSE_AFTER_TROUBLE
         if heard and not self.node.busy:
             # Nothing is decided here: its share of the requests is left to
             # those that hold blocks.
-            least = max(least, IDLE_FOLLOW)
+            least = max(least, IDLE_WATCH_INTERVAL)
         sleep(max(ZERO, began + least - self._clock.steady()) if heard else least)
 
     def _lead(self) -> None:
-        done = self.node.leadership.step()
+        done = self.node.leadership.run_once()
         # A node that starts joins as soon as it has read the live keys: its
         # blocks' workers wait for nothing else.  What was refused is asked for
         # again soon, or the hold would end for a few refusals.
-        beat = self.node.leadership.beat
-        sleep((beat if done else beat / 4) if self.node.mirror.loaded else COALESCE)
+        beat = self.node.leadership.heartbeat_interval
+        sleep((beat if done else beat / 4) if self.node.mirror.loaded else MIN_ROUND_PAUSE)
 
     def _rounds(self) -> None:
         """A round on every event; a long one is followed by a pause twice as long, in which all else is served."""
-        most = SHORT_PAUSE if self.node.records.short else self._operators.round
+        most = DEFERRED_ROUND_INTERVAL if self.node.record_writer.work_deferred else self._operators.round_interval
         self.node.wake.wait(most.total_seconds())
         self.node.wake.clear()
         began = self._clock.steady()
         if self.node.round():
             self.node.wake.set()
-        sleep(min(max(COALESCE, 2 * (self._clock.steady() - began)), LONGEST_PAUSE))
+        sleep(min(max(MIN_ROUND_PAUSE, 2 * (self._clock.steady() - began)), MAX_ROUND_PAUSE))
 
     def _stops(self) -> None:
-        self.node.stop()
+        self.node.stop_tasks()
         sleep(STOPS_EVERY)
 
     def _cloud(self) -> None:
-        self.node.fleet.step()
+        self.node.fleet.run_once()
         sleep(seconds(0.25))
 
     def _watch(self) -> None:
-        self.node.watch.step()
+        self.node.machine_monitor.run_once()
         sleep(seconds(0.5))
 
     def _keep(self) -> None:
-        self.node.keep()
-        sleep(KEEP_EVERY)
+        self.node.update_ledger()
+        sleep(LEDGER_INTERVAL)
 
     def _beat(self) -> None:
-        self.node.presence.beat()
-        sleep(BEAT)
+        self.node.pause_detector.heartbeat()
+        sleep(HEARTBEAT_INTERVAL)
 
     def _peers(self) -> None:
         """While out of touch, ask the siblings whether they are too."""
-        sleep(PEER_EVERY)
+        sleep(SIBLING_CHECK_INTERVAL)
         self.node.ask_siblings()
--- a/kelpjunction/fleet/cloud.py
+++ b/kelpjunction/fleet/cloud.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import ZERO, Clock, seconds
-from kelpjunction.fleet.dealings import CLOUD_KEY, NAME_BYTES
-from kelpjunction.fleet.demand import Offer, Request, Want, to_rent
+from kelpjunction.fleet.demand import CapacityRequest, Offer, Request, plan_rentals
 from kelpjunction.fleet.machines import Inventory, Machine, MachineState
-from kelpjunction.jobs.blame import Blame
-from kelpjunction.jobs.book import Book, Job
-from kelpjunction.leadership import LEAD_KEY, Reign
-from kelpjunction.placement import Budget, cheapest_slot, slots_on, type_fits
-from kelpjunction.queue import Giants, Rights
-from kelpjunction.settings import Operators, Platform
-from kelpjunction.store.client import Ending, Service, StoreClient, StoreDown
+from kelpjunction.fleet.rental_record import CLOUD_KEY, NAME_BYTES
+from kelpjunction.jobs.failure_attribution import FailureAttribution
+from kelpjunction.jobs.job_index import Job, JobIndex
+from kelpjunction.leadership import LEADER_KEY, LeaderTerm
+from kelpjunction.placement import PriceLimit, lowest_hourly_price_per_task, tasks_per_machine, type_fits
+from kelpjunction.queue import LargeJobs, PreemptionPolicy
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.settings import OperatorSettings, PlatformSettings
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreReachability, StoreUnavailable
 from kelpjunction.store.mirror import Mirror
-from kelpjunction.transport import NoAnswer, Reply, Transport
+from kelpjunction.transport import NoResponse, Reply, Transport
 from kelpjunction.wire import cloud as wire
 from kelpjunction.wire.messages import JobSpec, ListedMachine, MachineType, Shape
 from kelpjunction.wire.users import Malformed
@@ -28,16 +28,16 @@
 
 CATALOG_KEY = "l/catalog"
 CLOUD_TIMEOUT = timedelta(seconds=5)
-REFUSED_FOR = timedelta(seconds=20)
+REFUSED_OFFER_BACKOFF = timedelta(seconds=20)
 CATALOG_EVERY = timedelta(seconds=60)
 MINIMUM_CHARGE = timedelta(seconds=60)
 LOOK_EVERY = timedelta(seconds=1)  # pause between two looks at all machines; what is judged there takes tens of seconds
 TOLD_EVERY = timedelta(seconds=1)  # how long what was settled with the cloud may go untold if nobody waits for it
-PATIENCE = timedelta(minutes=5)  # how long work that no objective names waits for cheap room
-LARGE_PATIENCE = timedelta(minutes=2)  # the largest of it, which is to begin within four minutes
+CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=5)  # how long work that no objective names waits for cheap room
+LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=2)  # the largest of it, which is to begin within four minutes
 
 
-class NoCloud(Exception):
+class CloudUnavailable(Exception):
     """The cloud did not answer or would not; its outcome is unknown."""
 
 
@@ -46,12 +46,12 @@
 
     def __init__(
         self,
-        platform: Platform,
-        operators: Operators,
+        platform: PlatformSettings,
+        operators: OperatorSettings,
         store: StoreClient,
         mirror: Mirror,
-        book: Book,
-        blame: Blame,
+        job_index: JobIndex,
+        failure_attribution: FailureAttribution,
         inventory: Inventory,
         transport: Transport,
         clock: Clock,
@@ -61,16 +61,16 @@
         self._operators = operators
         self._store = store
         self._mirror = mirror
-        self._book = book
-        self._blame = blame
-        self._rights = Rights(platform.teams, platform.aimed)
+        self._job_index = job_index
+        self._failure_attribution = failure_attribution
+        self._preemption_policy = PreemptionPolicy(platform.teams, platform.classes_with_objectives)
         self._inventory = inventory
         self._transport = transport
         self._clock = clock
         self._sleep = sleep
         self._spacing = seconds(1.25 / platform.cloud.rps)
         self._called_at = clock.steady() - self._spacing
-        self._reign: Reign | None = None
+        self._leader_term: LeaderTerm | None = None
         self._term, self._began = 0, ZERO
         self._requests = 0
         self._refused: dict[Offer, timedelta] = {}
@@ -82,12 +82,12 @@
         self._catalog_at: timedelta | None = None
         self._listed_at: timedelta | None = None
         self._looked_at: timedelta | None = None
-        self.giants = Giants(platform.teams)
-        self.wants: list[Want] = []
-        self._scarce: dict[tuple, tuple[JobSpec, timedelta]] = {}
-        self._scarce_of: set[str] = set()
-        self._scarce_at = ZERO
-        self.scarce: list[JobSpec] = []  # examples of the work that needs accelerators, of late
+        self.large_jobs = LargeJobs(platform.teams)
+        self.capacity_requests: list[CapacityRequest] = []
+        self._accelerator_specs_seen: dict[tuple, tuple[JobSpec, timedelta]] = {}
+        self._accelerated_jobs_seen: set[str] = set()
+        self._accelerator_specs_at = ZERO
+        self.recent_accelerator_specs: list[JobSpec] = []  # examples of the work that needs accelerators, of late
         self._wanted: deque[tuple[timedelta, Counter]] = deque()
         self._trouble = False
         self._parsed: tuple[int, dict[str, MachineType]] = (0, {})
@@ -109,7 +109,7 @@
             self._parsed = (entry.version, wire.parse_catalog(entry.value))
         return self._parsed[1]
 
-    def budget(self, job: Job, spare: bool = False) -> Budget:
+    def price_limit(self, job: Job, spare: bool = False) -> PriceLimit:
         """What may be paid for a job's room.
 
         Several times the least only if an objective names its class and its
@@ -117,19 +117,25 @@
         cheap room at all.
         """
         spec = job.spec
-        self.giants.note([spec])
-        patience = LARGE_PATIENCE if self.giants.large(spec) and not self._rights.guest(spec) else PATIENCE
-        cheap_only = spare or (self._rights.leftover(spec) and self._clock.utc() - job.submitted < patience)
+        self.large_jobs.note([spec])
+        patience = (
+            LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT
+            if self.large_jobs.is_large(spec) and not self._preemption_policy.without_guarantee(spec)
+            else CHEAP_CAPACITY_WAIT_LIMIT
+        )
+        cheap_only = spare or (
+            self._preemption_policy.is_opportunistic(spec) and self._clock.utc() - job.submitted < patience
+        )
         key = spec.needs
         catalog = self.catalog
         if self._cheapest[0] is not catalog:
             self._cheapest = (catalog, {})
         known = self._cheapest[1]
         if key not in known:
-            known[key] = cheapest_slot(spec, catalog.values())
-        return Budget(known[key], cheap_only)
+            known[key] = lowest_hourly_price_per_task(spec, catalog.values())
+        return PriceLimit(known[key], cheap_only)
 
-    def want(self, job: Job, tasks: int) -> Want:
+    def capacity_request(self, job: Job, tasks: int) -> CapacityRequest:
         """Room that a job lacks, as it is to be rented.
 
         An array that may use spot machines gives them time to come back before
@@ -139,29 +145,29 @@
         waited = self._clock.utc() - job.submitted
         boots = [t.boot for t in self.catalog.values() if type_fits(job.spec, t)]
         patient = job.spec.shape is Shape.ARRAY and job.spec.spot and waited < 2 * max(boots, default=ZERO)
-        return Want(job.spec, tasks, self.budget(job), patient)
+        return CapacityRequest(job.spec, tasks, self.price_limit(job), patient)
 
     # -- a reign ------------------------------------------------------------
 
-    def begin(self, reign: Reign | None) -> None:
+    def begin(self, leader_term: LeaderTerm | None) -> None:
         """Start a reign from the records, or end one."""
-        self._reign = reign
-        if reign is None:
+        self._leader_term = leader_term
+        if leader_term is None:
             return
         # Kept past the reign's end: a step may be waiting for an answer then.
-        self._term, self._began = reign.term, reign.began
+        self._term, self._began = leader_term.term, leader_term.started_at
         self._requests = 0
         self._settled, self._gone = set(), []
-        self._refused, self._scarce, self.scarce = {}, {}, []
-        self._scarce_of = set()
+        self._refused, self._accelerator_specs_seen, self.recent_accelerator_specs = {}, {}, []
+        self._accelerated_jobs_seen = set()
         self._listed_at = self._catalog_at = self._looked_at = None
         self._wanted.clear()
 
     # -- one step -----------------------------------------------------------
 
-    def step(self) -> None:
+    def run_once(self) -> None:
         """Do what is due with the cloud, most urgent first."""
-        if self._reign is None or not self._mirror.loaded:
+        if self._leader_term is None or not self._mirror.loaded:
             return
         try:
             now = self._clock.steady()
@@ -174,21 +180,21 @@
             self._return_some()
             if self._listed_at is None or now - self._listed_at > self._platform.cloud.list_lag / 2:
                 self._read_list()
-            if self._store.service is Service.ANSWERING:
+            if self._store.reachability is StoreReachability.REACHABLE:
                 # Without it no intent can be written down or crossed out:
                 # the cloud's few calls are left to what can be done.
                 self._repeat_requests()
                 self._rent_some()
                 if self._clock.steady() - self._told_at >= TOLD_EVERY:
-                    self._tell()
+                    self._write_rental_record()
             self._note_trouble(False)
-        except NoCloud as error:
+        except CloudUnavailable as error:
             self._note_trouble(True, str(error))
 
-    def _note_trouble(self, trouble: bool, why: str = "its calls are answered again") -> None:
+    def _note_trouble(self, trouble: bool, reason: str = "its calls are answered again") -> None:
         if trouble is not self._trouble:
             self._trouble = trouble
-            log.info("cloud %s: %s", "has trouble" if trouble else "is back", why)
+            log.info("cloud %s: %s", "has trouble" if trouble else "is back", reason)
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> Reply:
         wait = self._called_at + self._spacing - self._clock.steady()
@@ -197,12 +203,12 @@
         self._called_at = self._clock.steady()
         try:
             reply = self._transport.request(self._platform.cloud_address, method, path, body, CLOUD_TIMEOUT)
-        except NoAnswer as error:
-            raise NoCloud(str(error)) from error
+        except NoResponse as error:
+            raise CloudUnavailable(str(error)) from error
         if reply.status == 503 and reply.fields.get("error") == "no capacity":
             return reply
         if reply.status != 200:
-            raise NoCloud(f"{method} {path}: status {reply.status} {reply.fields}")
+            raise CloudUnavailable(f"{method} {path}: status {reply.status} {reply.fields}")
         return reply
 
     def _read_catalog(self) -> None:
@@ -210,7 +216,7 @@
         try:
             wire.parse_catalog(reply.fields)
         except Malformed as error:
-            raise NoCloud(str(error)) from error
+            raise CloudUnavailable(str(error)) from error
         self._catalog_at = self._clock.steady()
         old = self._mirror.get(CATALOG_KEY)
         if old is None or old.value != reply.fields:
@@ -224,7 +230,7 @@
             try:
                 page, more = wire.parse_list(self._call("GET", wire.list_path(after)).fields)
             except Malformed as error:
-                raise NoCloud(str(error)) from error
+                raise CloudUnavailable(str(error)) from error
             listed |= {m.machine: m for m in page}
             if not more or not page:
                 break
@@ -255,7 +261,7 @@
     def _return_some(self) -> None:
         untold = set(self._gone)
         names = [m.name for m in self.machines.values() if m.state is MachineState.RETURNING and m.name not in untold]
-        known, asked = self.machines, self._inventory.dealings.back
+        known, asked = self.machines, self._inventory.rental_record.pending_returns
         # What an earlier leader asked back and this node never heard of: it must not stay asked for ever.
         names += [n for n in asked if n not in known and n not in untold and not self._inventory.gone(n)]
         names = names[: min(wire.MAX_RETURN, self._names)]
@@ -268,22 +274,22 @@
         if room < len(new):
             names = [name for name in names if name in asked or name in new[:room]]
             new = new[: max(0, room)]
-        if not names or (new and not self._tell(back=new)):
+        if not names or (new and not self._write_rental_record(back=new)):
             return
         self._call("POST", wire.RETURN_PATH, wire.return_body(names))
         self._gone += names
-        if any(name in self._book.loads for name in names):
-            self._tell()  # what stood there starts elsewhere as soon as its holder knows
+        if any(name in self._job_index.loads for name in names):
+            self._write_rental_record()  # what stood there starts elsewhere as soon as its holder knows
 
     def _note_idle(self, now: timedelta) -> None:
         """Mark idle machines, and let go those that cost more than they are worth."""
         catalog = self.catalog
-        needed = self._boxes_needed(now)
+        needed = self._gpu_machines_needed(now)
         have = Counter(m.type for m in self._live() if not m.spot)
         spare = self._room() - self._room_wanted()
-        over = self._boxes_over()
+        over = self._surplus_machines()
         for machine in self.machines.values():
-            if machine.name in self._book.loads:
+            if machine.name in self._job_index.loads:
                 machine.idle_since = None
                 continue
             if machine.state is MachineState.FAULTY:
@@ -306,53 +312,59 @@
                 over[machine.spot] -= 1
                 spare -= type_.cpus
 
-    def _boxes_needed(self, now: timedelta) -> dict[str, float]:
+    def _gpu_machines_needed(self, now: timedelta) -> dict[str, float]:
         """How many accelerator machines of each type to have: those boot too slowly to come and go with each job.
 
         As many as the unfinished work at its peak of late; all of them while
         this node has not watched for long enough to know.
         """
         wanted: Counter = Counter()
-        for job in map(self._book.jobs.__getitem__, self._book.accelerated):
+        for job in map(self._job_index.jobs.__getitem__, self._job_index.accelerated):
             for type_ in self.catalog.values():
                 if not job.spec.spot and type_fits(job.spec, type_):
                     # Small tasks share a box; what may use spot boxes has those.
-                    wanted[type_.name] += (job.spec.tasks - job.done_count()) / slots_on(job.spec, type_)
+                    wanted[type_.name] += (job.spec.tasks - job.done_count()) / tasks_per_machine(job.spec, type_)
         self._wanted.append((now, wanted))
-        while now - self._wanted[0][0] > self._operators.gang_memory:
+        while now - self._wanted[0][0] > self._operators.peak_demand_window:
             self._wanted.popleft()
         peak: Counter = Counter()
         for _, wanted in self._wanted:
             peak |= wanted
-        watched = now - self._began >= self._operators.gang_memory
-        return {n: peak[n] if watched or (not peak[n] and self.scarce) else math.inf for n in self.catalog}
+        watched = now - self._began >= self._operators.peak_demand_window
+        return {
+            n: peak[n] if watched or (not peak[n] and self.recent_accelerator_specs) else math.inf for n in self.catalog
+        }
 
-    def _boxes_over(self) -> Counter:
+    def _surplus_machines(self) -> Counter:
         """How many boxes there are beyond those wanted, spot ones and others, where all have accelerators.
 
         Spare room is reckoned in boxes then: a share of the processors of
         boxes whose accelerators are all taken is no room.
         """
         over: Counter = Counter(m.spot for m in self._live())
-        share = 1 + self._operators.spare_box_share
-        for job in self._book.jobs.values():
-            if not job.cancelled and not self._blame.wrong(job):
-                slots = max((slots_on(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t)), default=1)
+        share = 1 + self._operators.spare_gpu_machine_ratio
+        for job in self._job_index.jobs.values():
+            if not job.cancelled and not self._failure_attribution.is_failing_job(job):
+                slots = max(
+                    (tasks_per_machine(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t)), default=1
+                )
                 over[job.spec.spot] -= (job.spec.tasks - job.done_count()) / slots * share
         return over
 
-    def note_scarce(self) -> None:
+    def note_accelerator_specs(self) -> None:
         """Remember which work needs accelerators: its machines boot too slowly to come and go."""
         now = self._clock.steady()
-        if self._book.accelerated == self._scarce_of and now - self._scarce_at < LOOK_EVERY:
+        if self._job_index.accelerated == self._accelerated_jobs_seen and now - self._accelerator_specs_at < LOOK_EVERY:
             return
-        self._scarce_of, self._scarce_at = set(self._book.accelerated), now
-        for spec in (self._book.jobs[ref].spec for ref in self._book.accelerated):
-            self._scarce[spec.types, spec.zone, spec.cpus, spec.gpus, spec.memory] = (spec, now)
-        self._scarce = {
-            need: (spec, at) for need, (spec, at) in self._scarce.items() if now - at < self._operators.gang_memory
+        self._accelerated_jobs_seen, self._accelerator_specs_at = set(self._job_index.accelerated), now
+        for spec in (self._job_index.jobs[ref].spec for ref in self._job_index.accelerated):
+            self._accelerator_specs_seen[spec.types, spec.zone, spec.cpus, spec.gpus, spec.memory] = (spec, now)
+        self._accelerator_specs_seen = {
+            need: (spec, at)
+            for need, (spec, at) in self._accelerator_specs_seen.items()
+            if now - at < self._operators.peak_demand_window
         }
-        self.scarce = [spec for spec, _ in self._scarce.values()]
+        self.recent_accelerator_specs = [spec for spec, _ in self._accelerator_specs_seen.values()]
 
     @property
     def plain_types(self) -> bool:
@@ -372,8 +384,8 @@
         """CPUs to have: what is in use or waits, and a share to spare."""
         used = sum(
             (job.spec.tasks - job.done_count()) * job.spec.cpus
-            for job in self._book.jobs.values()
-            if not job.cancelled and not self._blame.wrong(job)
+            for job in self._job_index.jobs.values()
+            if not job.cancelled and not self._failure_attribution.is_failing_job(job)
         )
         return used * (1 + self._operators.spare_share)
 
@@ -382,20 +394,20 @@
     def _rent_some(self) -> None:
         now = self._clock.steady()
         self._refused = {o: t for o, t in self._refused.items() if t > now}
-        spare = self._spare_wants()
-        if not self.wants and not spare:
+        spare = self._spare_capacity_requests()
+        if not self.capacity_requests and not spare:
             return
         live = self._live()
         supply = Counter(m.zone for m in live)
         coming = Counter(m.type for m in live if m.state is MachineState.BOOTING)
         refused = set(self._refused)
-        requests = to_rent(self.wants, self.catalog, coming, refused, supply, most=wire.MAX_RENT)
+        requests = plan_rentals(self.capacity_requests, self.catalog, coming, refused, supply, most=wire.MAX_RENT)
         if not requests:
-            requests = to_rent(spare, self.catalog, {}, refused, supply, most=wire.MAX_RENT)
+            requests = plan_rentals(spare, self.catalog, {}, refused, supply, most=wire.MAX_RENT)
         # A second's worth of calls: machines to return and the list wait no longer than that.
         most = min(max(1, int(self._platform.cloud.rps)), self._store.limits.txn_ops)
         intents = dict(map(self._intent, requests[:most]))
-        if intents and self._tell(rent=intents):
+        if intents and self._write_rental_record(rent=intents):
             self._ask_for(intents)
 
     def _intent(self, request: Request) -> tuple[str, dict]:
@@ -415,38 +427,42 @@
         name = f"r-{self._term}-{self._requests}-{self._platform.node}"
         return name, {"t": offer.type, "z": offer.zone, "s": offer.spot, "n": count}
 
-    def _spare_wants(self) -> list[Want]:
+    def _spare_capacity_requests(self) -> list[CapacityRequest]:
         """Room to keep free, for services first: they can't use spot machines."""
         if not self.plain_types:
-            return self._spare_boxes()
+            return self._spare_machine_requests()
         missing = self._room_wanted() - self._room()
         if missing <= 0:
             return []
         samples = {
             job.spec.spot: job
-            for job in self._book.jobs.values()
-            if job.spec.shape is not Shape.GANG and not self._blame.wrong(job)
+            for job in self._job_index.jobs.values()
+            if job.spec.shape is not Shape.GANG and not self._failure_attribution.is_failing_job(job)
         }
         return [
-            Want(job.spec, int(missing / max(job.spec.cpus, 0.01)), self.budget(job, spare=True))
+            CapacityRequest(job.spec, int(missing / max(job.spec.cpus, 0.01)), self.price_limit(job, spare=True))
             for _, job in sorted(samples.items())
             if missing >= max(job.spec.cpus, 0.01)
         ]
 
-    def _spare_boxes(self) -> list[Want]:
+    def _spare_machine_requests(self) -> list[CapacityRequest]:
         """Boxes to keep free where all have accelerators: as many tasks of some job of each kind as they hold."""
-        over = self._boxes_over()
+        over = self._surplus_machines()
         wants = []
         for spot in (False, True):
-            job = next((j for j in self._book.jobs.values() if j.spec.spot is spot and not j.cancelled), None)
+            job = next((j for j in self._job_index.jobs.values() if j.spec.spot is spot and not j.cancelled), None)
             if job is not None and (lacking := math.floor(-over[spot])) > 0:
-                slots = max(slots_on(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t))
-                wants.append(Want(job.spec, lacking * slots, self.budget(job, spare=True), patient=spot))
+                slots = max(tasks_per_machine(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t))
+                wants.append(
+                    CapacityRequest(job.spec, lacking * slots, self.price_limit(job, spare=True), prefer_spot=spot)
+                )
         return wants
 
     def _repeat_requests(self) -> None:
         """Ask again for what was written down and not settled, under the same name."""
-        open_ = {name: i for name, i in self._inventory.dealings.rent.items() if name not in self._settled}
+        open_ = {
+            name: i for name, i in self._inventory.rental_record.pending_rentals.items() if name not in self._settled
+        }
         if open_:
             self._ask_for(open_)
 
@@ -461,15 +477,15 @@
         reply = self._call("POST", wire.RENT_PATH, wire.rent_body(name, *offer, intent["n"]))
         now = self._clock.steady()
         if reply.status == 503:
-            self._refused[offer] = now + REFUSED_FOR
+            self._refused[offer] = now + REFUSED_OFFER_BACKOFF
             log.info("no %s %s in %s", "spot" if offer.spot else "ordinary", offer.type, offer.zone)
             return
         try:
             names = wire.parse_rented(reply.fields)
         except Malformed as error:
-            raise NoCloud(str(error)) from error
+            raise CloudUnavailable(str(error)) from error
         if len(names) < intent["n"]:
-            self._refused[offer] = now + REFUSED_FOR
+            self._refused[offer] = now + REFUSED_OFFER_BACKOFF
         for machine in names:
             if self._inventory.gone(machine):
                 continue  # asked for again by a new leader, and returned since
@@ -478,14 +494,14 @@
 
     # -- records ------------------------------------------------------------
 
-    def _tell(self, rent: dict[str, dict] | None = None, back: Iterable[str] = ()) -> bool:
+    def _write_rental_record(self, rent: dict[str, dict] | None = None, back: Iterable[str] = ()) -> bool:
         """Write the page of dealings anew, with all that was settled since; whether it was."""
         self._told_at = self._clock.steady()
         settled, gone = set(self._settled), list(self._gone)
         if not (rent or back or settled or gone):
             return True
-        dealings = self._inventory.dealings.then(rent or {}, settled, list(back), gone, self._names)
-        if not self._write(CLOUD_KEY, dealings.record(), Purpose.SETTLE if gone else Purpose.CLOUD):
+        dealings = self._inventory.rental_record.updated(rent or {}, settled, list(back), gone, self._names)
+        if not self._write(CLOUD_KEY, dealings.record(), Purpose.CANCEL_OR_FENCE if gone else Purpose.CLOUD):
             return False
         self._settled -= settled
         self._gone = [name for name in self._gone if name not in gone]
@@ -493,16 +509,16 @@
 
     def _write(self, key: str, value: dict, purpose: Purpose) -> bool:
         """Write a record of the leader's, guarded by its reign and by the version it was made from."""
-        if self._reign is None:
+        if self._leader_term is None:
             return False
-        guards = {LEAD_KEY: self._reign.lead_version, key: self._mirror.version(key)}
+        guards = {LEADER_KEY: self._leader_term.leader_key_version, key: self._mirror.version(key)}
         outcome = self._store.commit(guards, {key: value}, purpose=purpose)
-        if outcome.ending is Ending.APPLIED:
+        if outcome.status is CommitStatus.APPLIED:
             self._mirror.put(key, value, outcome.revision)
             return True
-        if outcome.ending is Ending.CONFLICT and key in outcome.failed:
+        if outcome.status is CommitStatus.CONFLICT and key in outcome.failed:
             try:
                 self._mirror.refresh(key)
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("%s is read later: %s", key, error)
         return False
--- a/kelpjunction/fleet/demand.py
+++ b/kelpjunction/fleet/demand.py
@@ -6,10 +6,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from kelpjunction.placement import ANY_PRICE, SLACK, Budget, slot_price, slots_on, type_fits
+from kelpjunction.placement import (
+    NO_PRICE_LIMIT,
+    SLACK,
+    PriceLimit,
+    hourly_price_per_task,
+    tasks_per_machine,
+    type_fits,
+)
 from kelpjunction.wire.messages import JobSpec, MachineType
 
-SEVERAL = 3
+SPOT_ONLY_PRICE_RATIO = 3
 
 
 class Offer(NamedTuple):
@@ -20,18 +27,18 @@
     spot: bool
 
 
-class Want(NamedTuple):
+class CapacityRequest(NamedTuple):
     """Tasks of one job that found no room, and what may be paid for it."""
 
     spec: JobSpec
     tasks: int
-    budget: Budget = ANY_PRICE
-    patient: bool = False  # it waits for spot machines where others of the type cost several times as much
+    price_limit: PriceLimit = NO_PRICE_LIMIT
+    prefer_spot: bool = False  # it waits for spot machines where others of the type cost several times as much
 
 
-def offers(want: Want, catalog: dict[str, MachineType]) -> list[Offer]:
+def offers(capacity_request: CapacityRequest, catalog: dict[str, MachineType]) -> list[Offer]:
     """What could be rented for this job, the cheapest room first."""
-    spec, budget = want.spec, want.budget
+    spec, budget = capacity_request.spec, capacity_request.price_limit
     found: list[tuple[float, Offer]] = []
     for type_ in catalog.values():
         if not type_fits(spec, type_):
@@ -39,12 +46,12 @@
         for zone in type_.zones:
             if spec.zone in (None, zone):
                 kinds = (False, True) if spec.spot else (False,)
-                if want.patient and type_.price >= SEVERAL * type_.spot_price:
+                if capacity_request.prefer_spot and type_.price >= SPOT_ONLY_PRICE_RATIO * type_.spot_price:
                     kinds = (True,)
                 found.extend(
-                    (slot_price(spec, type_, k), Offer(type_.name, zone, k))
+                    (hourly_price_per_task(spec, type_, k), Offer(type_.name, zone, k))
                     for k in kinds
-                    if not (budget.cheap_only and budget.dear(spec, type_, k))
+                    if not (budget.exclude_expensive and budget.is_expensive(spec, type_, k))
                 )
     return [offer for _, offer in sorted(found)]
 
@@ -66,8 +73,8 @@
     unit: int = 1  # machines that are of use only together, in one zone
 
 
-def to_rent(
-    wants: Iterable[Want],
+def plan_rentals(
+    capacity_requests: Iterable[CapacityRequest],
     catalog: dict[str, MachineType],
     coming: dict[str, int],
     refused: set[Offer],
@@ -86,14 +93,14 @@
     left_of = {name: float(count) for name, count in coming.items()}
     lacks: dict[tuple[Offer, ...], _Lack] = {}
     known: dict[tuple, list[Offer]] = {}  # offers by what a job needs: many need the same
-    for want in wants:
+    for want in capacity_requests:
         spec, left = want.spec, float(want.tasks)
-        needs = (spec.needs, want.budget, want.patient)
+        needs = (spec.needs, want.price_limit, want.prefer_spot)
         choices = known.get(needs)
         if choices is None:
             choices = known[needs] = offers(want, catalog)
         for name in dict.fromkeys(o.type for o in choices):
-            slots = slots_on(spec, catalog[name])
+            slots = tasks_per_machine(spec, catalog[name])
             used = min(left_of.get(name, 0.0), left / slots)
             if used > 0:
                 left_of[name] -= used
@@ -102,7 +109,7 @@
         if left <= SLACK or not open_:
             continue
         same = tuple(o for o in open_ if o[::2] == open_[0][::2])
-        slots = slots_on(spec, catalog[same[0].type])
+        slots = tasks_per_machine(spec, catalog[same[0].type])
         lack = lacks.setdefault(same, _Lack(spec))
         lack.machines += left / slots
         if spec.one_zone:
--- a/kelpjunction/fleet/machines.py
+++ b/kelpjunction/fleet/machines.py
@@ -2,7 +2,7 @@
 
 What a block's holder says of its machines lies in pages (`l/machine/<zone>/<n>`), which it alone
 writes: a page costs one change however many of its machines changed.  What the leader does with the
-cloud lies in one page (`l/cloud`, see `fleet.dealings`): a name under `gone` there is what tells the
+cloud lies in one page (`l/cloud`, see `fleet.rental_record`): a name under `gone` there is what tells the
 holder that everything on the machine is gone.
 """
 
@@ -15,16 +15,16 @@
 from typing import NamedTuple
 
 from kelpjunction.blocks import Blocks
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import ZERO, Clock
-from kelpjunction.fleet.dealings import CLOUD_KEY, Dealings
+from kelpjunction.fleet.rental_record import CLOUD_KEY, RentalRecord
 from kelpjunction.store.mirror import Mirror
 
 log = logging.getLogger("fleet")
 
 MACHINE_PREFIX = "l/machine/"
-REMEMBERED = 10_000
-ROW_BYTES = 400  # what a page allows for each machine; images beyond it are not told
+MAX_GONE_MACHINES = 10_000
+MACHINE_ROW_BYTES = 400  # what a page allows for each machine; images beyond it are not told
 
 
 class MachineState(Enum):
@@ -50,7 +50,7 @@
     type: str
     zone: str
     spot: bool
-    changes: Changes  # told of all that placement looks at
+    changes: ChangeTracker  # told of all that placement looks at
     address: str = ""
     state: MachineState = MachineState.BOOTING
     since: timedelta = ZERO
@@ -59,9 +59,9 @@
     images: list[str] = field(default_factory=list)  # most recently used last
     cleared_of: set[str] = field(default_factory=set)  # jobs that failed here before something ended well here
     suspected: bool = False
-    silent_visits: int = 0
+    unanswered_probes: int = 0
 
-    def become(self, state: MachineState, now: timedelta, why: str = "") -> bool:
+    def become(self, state: MachineState, now: timedelta, reason: str = "") -> bool:
         """The one place where a machine's state changes; whether it did."""
         if state is self.state or self.state is MachineState.GONE:
             return False
@@ -69,36 +69,42 @@
             return False
         if self.state is MachineState.FAULTY and state is not MachineState.RETURNING and state is not MachineState.GONE:
             return False
-        if why:
+        if reason:
             log.info(
-                "machine %s (%s, %s): %s -> %s, %s", self.name, self.type, self.zone, self.state.value, state.value, why
+                "machine %s (%s, %s): %s -> %s, %s",
+                self.name,
+                self.type,
+                self.zone,
+                self.state.value,
+                state.value,
+                reason,
             )
         self.since = now
-        self._stand(state)
+        self._set_state(state)
         return True
 
-    def _stand(self, state: MachineState) -> None:
+    def _set_state(self, state: MachineState) -> None:
         self.state = state
-        self.changes.note(self.name)
+        self.changes.mark_changed(self.name)
 
     def copy_state(self, state: MachineState) -> bool:
         """Take over what its block's holder says of it; whether that is news."""
         if self.state in (MachineState.RETURNING, state):
             return False
-        self._stand(state)
+        self._set_state(state)
         return True
 
     def suspect(self, suspected: bool) -> None:
         """Shun it, or no longer."""
         if suspected is not self.suspected:
             self.suspected = suspected
-            self.changes.note(self.name)
+            self.changes.mark_changed(self.name)
 
     def take_images(self, images: list[str]) -> None:
         """Learn what its cache holds, most recently used last."""
         if images != self.images:
             self.images = images
-            self.changes.note(self.name)
+            self.changes.mark_changed(self.name)
 
     @property
     def usable(self) -> bool:
@@ -106,7 +112,7 @@
 
     def row(self) -> list:
         """This machine as its page has it, for the nodes that do not hold its block."""
-        left = ROW_BYTES - 120 - len(self.name) - len(self.type) - len(self.address)
+        left = MACHINE_ROW_BYTES - 120 - len(self.name) - len(self.type) - len(self.address)
         told: list[str] = []
         for image in reversed(self.images):
             left -= len(image.encode()) + 3
@@ -129,7 +135,7 @@
 class Inventory:
     """All machines this node knows of: from the records, from workers' reports, from the cloud's list."""
 
-    def __init__(self, mirror: Mirror, blocks: Blocks, clock: Clock, changes: Changes) -> None:
+    def __init__(self, mirror: Mirror, blocks: Blocks, clock: Clock, changes: ChangeTracker) -> None:
         self._mirror = mirror
         self._changes = changes
         self._blocks = blocks
@@ -139,7 +145,7 @@
         # back, but reports that a cut held up and lists that lag still tell
         # of them: without this, work would be placed on nothing.
         self._gone: OrderedDict[str, None] = OrderedDict()
-        self.dealings = Dealings()  # the leader's with the cloud, as this node knows them
+        self.rental_record = RentalRecord()  # the leader's with the cloud, as this node knows them
         self._pages: dict[str, dict[str, Row]] = {}
         self.on_gone: Callable[[str], None] = lambda machine: None
         self.on_change: Callable[[], None] = lambda: None  # a machine became usable or stopped being so
@@ -156,8 +162,8 @@
         if machine is None:
             now = self._clock.steady()
             machine = self.machines[name] = Machine(name, type_, zone, spot, self._changes, since=now, rented_at=now)
-            self._changes.note(name)
-            if name in self.dealings.back:
+            self._changes.mark_changed(name)
+            if name in self.rental_record.pending_returns:
                 machine.become(MachineState.RETURNING, now, "as the leader decided")
         if address:
             machine.address = address
@@ -176,29 +182,29 @@
                 continue  # a page that lags must not bring back what was returned
             machine = self.adopt(name, row.type, zone, row.spot, row.address)
             # Of its own blocks a holder knows better than what it wrote down.
-            if self._blocks.mine(zone) is None:
+            if self._blocks.own_grant(zone) is None:
                 machine.take_images(row.images)
                 if machine.copy_state(MachineState(row.state)):
                     self.on_change()
 
     def _cloud_changed(self, key: str, value: dict | None, version: int) -> None:
-        self.dealings = Dealings.of(value)
+        self.rental_record = RentalRecord.of(value)
         now = self._clock.steady()
-        for name in self.dealings.back:
+        for name in self.rental_record.pending_returns:
             machine = self.machines.get(name)
             if machine is not None:
                 machine.become(MachineState.RETURNING, now, "as the leader decided")
-        for name in self.dealings.gone:
+        for name in self.rental_record.gone:
             if not self.gone(name):
                 self._forget(name, now)
 
     def _forget(self, name: str, now: timedelta) -> None:
         """The cloud has confirmed that the machine, and everything on it, is gone."""
         self._gone[name] = None
-        if len(self._gone) > REMEMBERED:
+        if len(self._gone) > MAX_GONE_MACHINES:
             self._gone.popitem(last=False)
         machine = self.machines.pop(name, None)
-        self._changes.note(name)
+        self._changes.mark_changed(name)
         if machine is not None:
             machine.become(MachineState.GONE, now, "returned")
         self.on_gone(name)
--- a/kelpjunction/fleet/dealings.py
+++ b/kelpjunction/fleet/rental_record.py
@@ -17,30 +17,30 @@
 NAME_BYTES = 24  # what is allowed for a machine's name
 
 
-class Dealings(NamedTuple):
+class RentalRecord(NamedTuple):
     """What a leader has asked of the cloud."""
 
-    rent: dict[str, dict] = {}  # request name -> type, zone, whether spot, how many  # noqa: RUF012
-    back: tuple[str, ...] = ()  # machines whose return was asked for, perhaps carried out
+    pending_rentals: dict[str, dict] = {}  # request name -> type, zone, whether spot, how many  # noqa: RUF012
+    pending_returns: tuple[str, ...] = ()  # machines whose return was asked for, perhaps carried out
     gone: tuple[str, ...] = ()  # machines that the cloud confirmed as gone, the latest last
 
     @classmethod
-    def of(cls, value: dict | None) -> "Dealings":
+    def of(cls, value: dict | None) -> "RentalRecord":
         return cls() if value is None else cls(value["rent"], tuple(value["back"]), tuple(value["gone"]))
 
     def record(self) -> dict:
-        return {"rent": self.rent, "back": list(self.back), "gone": list(self.gone)}
+        return {"rent": self.pending_rentals, "back": list(self.pending_returns), "gone": list(self.gone)}
 
-    def then(
+    def updated(
         self,
         rent: Mapping[str, dict],
         settled: Collection[str],
         back: Collection[str],
         gone: Collection[str],
         room: int,
-    ) -> "Dealings":
+    ) -> "RentalRecord":
         """With new requests and returns; without what was settled; `room` bounds the names under `gone`."""
-        kept = {name: intent for name, intent in self.rent.items() if name not in settled}
+        kept = {name: intent for name, intent in self.pending_rentals.items() if name not in settled}
         returned = tuple(dict.fromkeys((*self.gone, *gone)))[-room:]
-        asked = tuple(n for n in dict.fromkeys((*self.back, *back)) if n not in set(gone))
-        return Dealings(kept | dict(rent), asked, returned)
+        asked = tuple(n for n in dict.fromkeys((*self.pending_returns, *back)) if n not in set(gone))
+        return RentalRecord(kept | dict(rent), asked, returned)
--- a/kelpjunction/fleet/states.py
+++ b/kelpjunction/fleet/states.py
@@ -10,15 +10,15 @@
 
 from sortedcontainers import SortedList
 
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.fleet.machines import Machine, MachineState
 
 
 class StateIndex:
     """Machines by zone and state, as an inventory has them."""
 
-    def __init__(self, changes: Changes, machines: Mapping[str, Machine]) -> None:
-        self._stale = changes.follow()
+    def __init__(self, changes: ChangeTracker, machines: Mapping[str, Machine]) -> None:
+        self._stale = changes.subscribe()
         self._machines = machines
         self._known: dict[str, tuple[str, MachineState]] = {}
         self._names: dict[tuple[str, MachineState], SortedList] = {}
--- a/kelpjunction/http.py
+++ b/kelpjunction/http.py
@@ -1,4 +1,4 @@
-"""The two HTTP faces of a node: `listen` for users and workers, and the siblings' one."""
+"""The two HTTP faces of a node: `listen_address` for users and workers, and the siblings' one."""
 
 import logging
 import math
@@ -10,8 +10,8 @@
 from gevent.pool import Pool
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from kelpjunction.intake import Answer, Intake
-from kelpjunction.transport import NoAnswer, Transport
+from kelpjunction.intake import Intake, UserResponse
+from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire import users, workers
 from kelpjunction.wire.users import Malformed
 
@@ -35,7 +35,7 @@
 METRICS_PATH = "/metrics"
 
 
-def respond(start_response: Callable, answer: Answer) -> Iterable[bytes]:
+def respond(start_response: Callable, answer: UserResponse) -> Iterable[bytes]:
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(answer.body)))]
     if answer.retry_after is not None:
         headers.append(("Retry-After", str(math.ceil(answer.retry_after.total_seconds()))))
@@ -156,18 +156,18 @@
         try:
             answer = self._route(environ["REQUEST_METHOD"], environ["PATH_INFO"], environ)
         except Malformed as error:
-            answer = Answer(400, users.error_answer(str(error)))
+            answer = UserResponse(400, users.error_answer(str(error)))
         except Exception:
             log.exception("%s %s failed", environ["REQUEST_METHOD"], environ["PATH_INFO"])
-            answer = Answer(500, users.error_answer("internal error"))
+            answer = UserResponse(500, users.error_answer("internal error"))
         return respond(start_response, answer)
 
-    def _route(self, method: str, path: str, environ: dict) -> Answer:
+    def _route(self, method: str, path: str, environ: dict) -> UserResponse:
         if path == workers.CHECK_IN_PATH:
-            return Answer(*self._check_in(body_of(environ))) if method == "POST" else not_allowed()
+            return UserResponse(*self._check_in(body_of(environ))) if method == "POST" else not_allowed()
         if path == users.HEALTH_PATH:
             healthy = self._intake.healthy()
-            return Answer(200 if healthy else 503, b"{}")
+            return UserResponse(200 if healthy else 503, b"{}")
         if path == users.JOBS_PATH:
             return self._intake.submit(body_of(environ)) if method == "POST" else not_allowed()
         if path.startswith(users.JOBS_PATH + "/"):
@@ -178,14 +178,14 @@
                 body_of(environ)
                 return self._intake.abort(ref.removesuffix(users.ABORT_END))
             return self._intake.status(ref) if method == "GET" else not_allowed()
-        return Answer(404, users.error_answer("no such path"))
+        return UserResponse(404, users.error_answer("no such path"))
 
 
-def not_allowed() -> Answer:
-    return Answer(405, users.error_answer("method not allowed"))
+def not_allowed() -> UserResponse:
+    return UserResponse(405, users.error_answer("method not allowed"))
 
 
-class PeerApplication:
+class SiblingApplication:
     """What siblings may ask, whether this node hears the state service; and its metrics, if there are any."""
 
     def __init__(self, intake: Intake, metrics: "Metrics | None" = None) -> None:
@@ -200,14 +200,14 @@
             )
             return [text]
         if environ["PATH_INFO"] != PEER_PATH:
-            return respond(start_response, Answer(404, b"{}"))
-        return respond(start_response, Answer(200, orjson.dumps({"fresh": self._intake.fresh})))
+            return respond(start_response, UserResponse(404, b"{}"))
+        return respond(start_response, UserResponse(200, orjson.dumps({"fresh": self._intake.fresh})))
 
 
-def ask_peer(transport: Transport, address: str) -> bool:
+def sibling_is_fresh(transport: Transport, address: str) -> bool:
     """Whether a sibling answers and hears the state service."""
     try:
         reply = transport.request(address, "GET", PEER_PATH, None, timedelta(seconds=1))
-    except NoAnswer:
+    except NoResponse:
         return False
     return reply.status == 200 and reply.fields.get("fresh") is True
--- a/kelpjunction/intake/__init__.py
+++ b/kelpjunction/intake/__init__.py
@@ -12,15 +12,15 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
 from kelpjunction.fleet.cloud import Fleet
-from kelpjunction.jobs.book import END_PREFIX, JOB_PREFIX, Book, job_record
+from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX, JobIndex, job_record
 from kelpjunction.placement import type_fits
 from kelpjunction.queue import over_limit
+from kelpjunction.rate_limiter import Purpose
 from kelpjunction.recorder import Event, Recorder
-from kelpjunction.settings import Platform, Team
-from kelpjunction.store.client import Ending, StoreClient, StoreDown
+from kelpjunction.settings import PlatformSettings, Team
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable
 from kelpjunction.store.mirror import Mirror, Verifier
 from kelpjunction.wire import users as wire
 from kelpjunction.wire.messages import JobPhase, JobSpec, MachineType, Shape
@@ -28,14 +28,14 @@
 
 log = logging.getLogger("intake")
 
-REMEMBERED = 20_000
+ENDED_JOB_CACHE_LIMIT = 20_000
 RETRY_AFTER = timedelta(seconds=1)
 TRIES = 4
 # Then a write's outcome is read: a user gives a request up after 5 s, and answers come within some 100 ms.
-UNHEARD_AFTER = timedelta(seconds=1.5)
+COMMIT_RESPONSE_TIMEOUT = timedelta(seconds=1.5)
 
 
-class Answer(NamedTuple):
+class UserResponse(NamedTuple):
     """What a user gets."""
 
     status: int
@@ -43,12 +43,12 @@
     retry_after: timedelta | None = None
 
 
-def later(why: str) -> Answer:
+def unavailable_response(why: str) -> UserResponse:
     """The request can't be decided now: say so at once, and when to come back."""
-    return Answer(503, wire.error_answer(why), RETRY_AFTER)
+    return UserResponse(503, wire.error_answer(why), RETRY_AFTER)
 
 
-def why_never(spec: JobSpec, catalog: Mapping[str, MachineType], teams: Mapping[str, Team]) -> str | None:
+def infeasibility_reason(spec: JobSpec, catalog: Mapping[str, MachineType], teams: Mapping[str, Team]) -> str | None:
     """Why a job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
@@ -74,11 +74,11 @@
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformSettings,
         store: StoreClient,
         mirror: Mirror,
         verifier: Verifier,
-        book: Book,
+        job_index: JobIndex,
         fleet: Fleet,
         clock: Clock,
         recorder: Recorder,
@@ -88,30 +88,30 @@
         self._store = store
         self._mirror = mirror
         self._verifier = verifier
-        self._book = book
+        self._job_index = job_index
         self._fleet = fleet
         self._clock = clock
         self._ended: OrderedDict[str, JobPhase] = OrderedDict()
-        self.siblings_fresh = False
+        self.sibling_has_fresh_mirror = False
 
     # -- submit -------------------------------------------------------------
 
-    def submit(self, body: bytes) -> Answer:
+    def submit(self, body: bytes) -> UserResponse:
         try:
             return self._submit(body)
-        except StoreDown as error:
-            return later(f"the state service does not answer: {error}")
+        except StoreUnavailable as error:
+            return unavailable_response(f"the state service does not answer: {error}")
 
-    def _submit(self, body: bytes) -> Answer:
+    def _submit(self, body: bytes) -> UserResponse:
         try:
             fields = wire.parse_object(body)
         except Malformed as error:
-            return Answer(400, wire.error_answer(str(error)))
+            return UserResponse(400, wire.error_answer(str(error)))
         ref = fields.get("ref")
         if not wire.valid_ref(ref):
-            return Answer(400, wire.error_answer("ref must look like j-000412"))
+            return UserResponse(400, wire.error_answer("ref must look like j-000412"))
         if not self._mirror.loaded:
-            return later("this node is starting")
+            return unavailable_response("this node is starting")
         refusal = self._refusal(fields)
         if refusal is not None:
             # A repeat of a job that is known is never refused.
@@ -124,118 +124,118 @@
         record = job_record(wire.fields_to_keep(fields), self._clock.utc())
         key = JOB_PREFIX + ref
         outcome = self._store.commit(
-            {key: 0, END_PREFIX + ref: 0}, {key: record}, timeout=UNHEARD_AFTER, purpose=Purpose.SUBMIT
+            {key: 0, END_PREFIX + ref: 0}, {key: record}, timeout=COMMIT_RESPONSE_TIMEOUT, purpose=Purpose.SUBMIT
         )
-        if outcome.ending is Ending.APPLIED:
+        if outcome.status is CommitStatus.APPLIED:
             self._mirror.put(key, record, outcome.revision)
-            return Answer(201, wire.job_answer(ref, JobPhase.QUEUED))
-        if outcome.ending in (Ending.CONFLICT, Ending.UNKNOWN):
+            return UserResponse(201, wire.job_answer(ref, JobPhase.QUEUED))
+        if outcome.status in (CommitStatus.CONFLICT, CommitStatus.UNKNOWN):
             # Without an answer only a read tells whether it was carried out.
             known = self._find(ref)
             if known is not None:
                 return known
         # Refused, or not carried out yet: if it is after all, the user's
         # retry finds the job and gets 200.
-        return later("the state service did not confirm the job")
+        return unavailable_response("the state service did not confirm the job")
 
-    def _refusal(self, fields: dict) -> Answer | None:
+    def _refusal(self, fields: dict) -> UserResponse | None:
         """Why the job can't be taken, or None."""
         try:
             spec = wire.parse_job(fields)
         except Malformed as error:
-            return Answer(400, wire.error_answer(str(error)))
+            return UserResponse(400, wire.error_answer(str(error)))
         catalog = self._fleet.catalog
         if not catalog:
-            return later("the machine types are not known yet")
-        why = why_never(spec, catalog, self._teams)
-        return None if why is None else Answer(422, wire.error_answer(why))
+            return unavailable_response("the machine types are not known yet")
+        why = infeasibility_reason(spec, catalog, self._teams)
+        return None if why is None else UserResponse(422, wire.error_answer(why))
 
     # -- status -------------------------------------------------------------
 
-    def status(self, ref: str) -> Answer:
+    def status(self, ref: str) -> UserResponse:
         if not wire.valid_ref(ref):
-            return Answer(404, wire.error_answer("no such job"))
+            return UserResponse(404, wire.error_answer("no such job"))
         if not self._mirror.loaded:
-            return later("this node is starting")
+            return unavailable_response("this node is starting")
         try:
-            return self._find(ref) or Answer(404, wire.error_answer("no such job"))
-        except StoreDown as error:
-            return later(f"the state service does not answer: {error}")
+            return self._find(ref) or UserResponse(404, wire.error_answer("no such job"))
+        except StoreUnavailable as error:
+            return unavailable_response(f"the state service does not answer: {error}")
 
-    def _find(self, ref: str) -> Answer | None:
+    def _find(self, ref: str) -> UserResponse | None:
         """How a job stands, no older than what any node has told; None if it was never accepted."""
         key, end_key = JOB_PREFIX + ref, END_PREFIX + ref
         for _ in range(TRIES):
             if ref in self._ended:
                 self._ended.move_to_end(ref)
-                return Answer(200, wire.job_answer(ref, self._ended[ref]))
+                return UserResponse(200, wire.job_answer(ref, self._ended[ref]))
             entry = self._mirror.get(key)
             if entry is not None:
                 # A cancellation is never taken back, so it needs no asking.
-                if not entry.value.get("cancelled") and not self._verifier.holds({key: entry.version}):
+                if not entry.value.get("cancelled") and not self._verifier.versions_current({key: entry.version}):
                     self._mirror.refresh(key)
-                elif (job := self._book.jobs.get(ref)) is not None:
-                    return Answer(200, wire.job_answer(ref, job.phase(), job.done_count(), job.placed_count()))
+                elif (job := self._job_index.jobs.get(ref)) is not None:
+                    return UserResponse(200, wire.job_answer(ref, job.phase(), job.done_count(), job.placed_count()))
                 # Else it ended while this node was asking.
                 continue
             end = self._store.get(end_key)
             if end is not None:
                 self.remember(ref, end.value["end"])
                 continue
-            if self._verifier.holds({key: 0, end_key: 0}):
+            if self._verifier.versions_current({key: 0, end_key: 0}):
                 return None
             self._mirror.refresh(key)
-        raise StoreDown("the job's record kept changing")
+        raise StoreUnavailable("the job's record kept changing")
 
     def remember(self, ref: str, end: str) -> None:
         """Keep a final answer; it never changes."""
         self._ended[ref] = JobPhase.DONE if end == "done" else JobPhase.CANCELLED
-        if len(self._ended) > REMEMBERED:
+        if len(self._ended) > ENDED_JOB_CACHE_LIMIT:
             self._ended.popitem(last=False)
 
     # -- abort --------------------------------------------------------------
 
-    def abort(self, ref: str) -> Answer:
+    def abort(self, ref: str) -> UserResponse:
         if not wire.valid_ref(ref):
-            return Answer(404, wire.error_answer("no such job"))
+            return UserResponse(404, wire.error_answer("no such job"))
         if not self._mirror.loaded:
-            return later("this node is starting")
+            return unavailable_response("this node is starting")
         try:
             return self._abort(ref)
-        except StoreDown as error:
-            return later(f"the state service does not answer: {error}")
+        except StoreUnavailable as error:
+            return unavailable_response(f"the state service does not answer: {error}")
 
-    def _abort(self, ref: str) -> Answer:
+    def _abort(self, ref: str) -> UserResponse:
         key = JOB_PREFIX + ref
         for _ in range(TRIES):
             entry = self._mirror.get(key)
             if entry is None:
                 known = self._find(ref)
                 if known is None:
-                    return Answer(404, wire.error_answer("no such job"))
+                    return UserResponse(404, wire.error_answer("no such job"))
                 if ref in self._ended:
-                    return Answer(200, wire.job_answer(ref, self._ended[ref]))
+                    return UserResponse(200, wire.job_answer(ref, self._ended[ref]))
                 continue
             if entry.value.get("cancelled"):
                 return self._confirm(ref, entry.version)
             record = entry.value | {"cancelled": True}
-            outcome = self._store.commit({key: entry.version}, {key: record}, timeout=UNHEARD_AFTER)
-            if outcome.ending is Ending.APPLIED:
+            outcome = self._store.commit({key: entry.version}, {key: record}, timeout=COMMIT_RESPONSE_TIMEOUT)
+            if outcome.status is CommitStatus.APPLIED:
                 self._mirror.put(key, record, outcome.revision)
                 log.info("job %s is cancelled by its user", ref)
                 return self._confirm(ref, outcome.revision)
-            if outcome.ending is Ending.REFUSED:
+            if outcome.status is CommitStatus.REFUSED:
                 break
             # In conflict, or without an answer: how it stands now is read, and told if that is final.
             self._mirror.refresh(key)
-            if outcome.ending is Ending.UNKNOWN and self._mirror.version(key) == entry.version:
+            if outcome.status is CommitStatus.UNKNOWN and self._mirror.version(key) == entry.version:
                 break  # not carried out yet; written again it would take the user's patience
-        return later("the cancellation could not be confirmed")
+        return unavailable_response("the cancellation could not be confirmed")
 
-    def _confirm(self, ref: str, version: int) -> Answer:
+    def _confirm(self, ref: str, version: int) -> UserResponse:
         """Tell a user that the job is cancelled, as its record at this version says."""
-        self._recorder.note(CancellationConfirmed(ref, version))
-        return Answer(200, wire.job_answer(ref, JobPhase.CANCELLED))
+        self._recorder.record(CancellationConfirmed(ref, version))
+        return UserResponse(200, wire.job_answer(ref, JobPhase.CANCELLED))
 
     # -- health -------------------------------------------------------------
 
@@ -250,4 +250,4 @@
         In an outage that everybody has, leaving would only cost minutes of
         doubled pauses afterwards.
         """
-        return self._mirror.loaded and (self.fresh or not self.siblings_fresh)
+        return self._mirror.loaded and (self.fresh or not self.sibling_has_fresh_mirror)
--- a/kelpjunction/jobs/__init__.py
+++ b/kelpjunction/jobs/__init__.py
@@ -2,6 +2,6 @@
 
 Owns the records of live jobs (`l/job/<ref>`, `l/run/<ref>/<chunk>`,
 `l/sum/<ref>`) and of ended ones (`e/<ref>`), the in-memory picture of them
-(`book`), who is to blame for a failure (`blame`), and the rounds of leader and
-holders that write them (`leading`, `holding`, by way of `records`).
+(`job_index`), who is to blame for a failure (`failure_attribution`), and the rounds of leader and
+holders that write them (`leader_scheduler`, `holder_scheduler`, by way of `records`).
 """
--- a/kelpjunction/jobs/blame.py
+++ b/kelpjunction/jobs/failure_attribution.py
@@ -14,38 +14,38 @@
 
 from kelpjunction.clock import Clock
 from kelpjunction.fleet.machines import Machine
-from kelpjunction.jobs.book import Book, Job
+from kelpjunction.jobs.job_index import Job, JobIndex
 from kelpjunction.wire.messages import Shape
 
 log = logging.getLogger("jobs")
 
-ENOUGH_MACHINES = 3
-ENOUGH_FAILURES = 8  # on two machines: there may be no third
-ENOUGH_JOBS = 2
-FIRST_PAUSE = timedelta(seconds=4)
-LONGEST_PAUSE = timedelta(seconds=60)
+MIN_FAILED_MACHINES = 3
+MIN_FAILURES = 8  # on two machines: there may be no third
+MIN_FAILED_JOBS = 2
+INITIAL_RETRY_BACKOFF = timedelta(seconds=4)
+MAX_RETRY_BACKOFF = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
-class _Tries:
+class _RetryState:
     """How many failures of a wrong job were counted when its next try was put off, and until when."""
 
     failures: int
-    pause: timedelta
-    due: timedelta
+    backoff: timedelta
+    next_retry_at: timedelta
 
 
-class Blame:
+class FailureAttribution:
     """Judges jobs and machines by what failed where."""
 
-    def __init__(self, book: Book, clock: Clock) -> None:
-        self._book = book
+    def __init__(self, job_index: JobIndex, clock: Clock) -> None:
+        self._job_index = job_index
         self._clock = clock
-        self._tries: dict[str, _Tries] = {}
+        self._retry_states: dict[str, _RetryState] = {}
 
     # -- jobs -----------------------------------------------------------------
 
-    def wrong(self, job: Job) -> bool:
+    def is_failing_job(self, job: Job) -> bool:
         """Whether a job fails wherever it is put.
 
         A gang and a single task fail on one machine at a time, so that two
@@ -54,49 +54,51 @@
         if job.done_count() or len(job.failed_on) < 2:
             return False
         alone = job.spec.shape is Shape.GANG or job.spec.tasks == 1
-        return alone or len(job.failed_on) >= ENOUGH_MACHINES or job.failures >= ENOUGH_FAILURES
+        return alone or len(job.failed_on) >= MIN_FAILED_MACHINES or job.failures >= MIN_FAILURES
 
-    def may_try(self, job: Job) -> int | None:
+    def retry_limit(self, job: Job) -> int | None:
         """How many more tasks of the job may be tried now; None: as many as there are.
 
         While others of its tasks run, they may yet show that it is not wrong.
         """
-        if not job.failures or not self.wrong(job):
+        if not job.failures or not self.is_failing_job(job):
             return None
-        if not self.due(job) or job.counts.placed + job.counts.pending:
+        if not self.retry_due(job) or job.counts.placed + job.counts.dispatched:
             return 0
         return job.spec.tasks if job.spec.shape is Shape.GANG else 1
 
-    def due(self, job: Job) -> bool:
+    def retry_due(self, job: Job) -> bool:
         """Whether a wrong job may be tried again; each failure of a try doubles the pause before the next."""
         now = self._clock.steady()
-        tries = self._tries.get(job.spec.ref)
+        tries = self._retry_states.get(job.spec.ref)
         if tries is None:
-            self._tries = {ref: t for ref, t in self._tries.items() if ref in self._book.jobs}
+            self._retry_states = {ref: t for ref, t in self._retry_states.items() if ref in self._job_index.jobs}
             log.info(
                 "job %s failed on %d machines and never ended well: it is tried ever more rarely",
                 job.spec.ref,
                 len(job.failed_on),
             )
-            tries = self._tries[job.spec.ref] = _Tries(job.failures, FIRST_PAUSE, now + FIRST_PAUSE)
+            tries = self._retry_states[job.spec.ref] = _RetryState(
+                job.failures, INITIAL_RETRY_BACKOFF, now + INITIAL_RETRY_BACKOFF
+            )
         elif tries.failures != job.failures:
-            pause = tries.pause if now < tries.due else min(LONGEST_PAUSE, 2 * tries.pause)
-            tries.failures, tries.pause, tries.due = job.failures, pause, now + pause
-        return now >= tries.due
+            pause = tries.backoff if now < tries.next_retry_at else min(MAX_RETRY_BACKOFF, 2 * tries.backoff)
+            tries.failures, tries.backoff, tries.next_retry_at = job.failures, pause, now + pause
+        return now >= tries.next_retry_at
 
     # -- machines ---------------------------------------------------------------
 
-    def against(self, machine: Machine) -> tuple[int, bool]:
+    def evidence_against(self, machine: Machine) -> tuple[int, bool]:
         """How many jobs speak against a machine, and whether that is enough to call it faulty."""
-        refs = self._book.failed_on.get(machine.name, set()) - machine.cleared_of
+        refs = self._job_index.failed_on.get(machine.name, set()) - machine.cleared_of
         count, proven = 0, False
-        for job in map(self._book.jobs.__getitem__, refs):
+        for job in map(self._job_index.jobs.__getitem__, refs):
             ends_well = job.done_count() > 0
             if ends_well or len(job.failed_on) == 1:
                 count += 1
                 proven = proven or ends_well
-        return count, proven or count >= ENOUGH_JOBS
+        return count, proven or count >= MIN_FAILED_JOBS
 
-    def clear(self, machine: Machine) -> None:
+    def record_success(self, machine: Machine) -> None:
         """A task ended well on the machine: what failed there before was not its fault."""
-        machine.cleared_of |= self._book.failed_on.get(machine.name, set())
+        machine.cleared_of |= self._job_index.failed_on.get(machine.name, set())
--- a/kelpjunction/jobs/holding.py
+++ b/kelpjunction/jobs/holder_scheduler.py
@@ -13,108 +13,127 @@
 from datetime import timedelta
 
 from kelpjunction.blocks import Blocks, block_key
-from kelpjunction.budget import Purpose
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import ZERO, Clock, seconds
 from kelpjunction.fleet.cloud import Fleet
-from kelpjunction.jobs.blame import Blame
-from kelpjunction.jobs.book import (
-    CHUNK,
-    OVER_PREFIX,
+from kelpjunction.jobs.failure_attribution import FailureAttribution
+from kelpjunction.jobs.job_index import (
+    CHUNK_TASKS,
+    SETTLED_PREFIX,
     SUM_PREFIX,
-    Book,
-    Handed,
+    DispatchTarget,
     Job,
-    Over,
+    JobIndex,
     Phase,
     Placement,
-    over_record,
+    SettledAttempt,
     ranges,
+    settled_page,
 )
-from kelpjunction.jobs.records import Records, run_key
-from kelpjunction.jobs.views import Views, able_for, cached, emptied, fitting, spread_of, stoppable, view_of
-from kelpjunction.placement import Choice, Found, Victim, View, make_room, place, place_gang
-from kelpjunction.queue import Rights, Waiting, in_order
-from kelpjunction.settings import Operators, Platform
+from kelpjunction.jobs.records import RecordWriter, run_key
+from kelpjunction.jobs.views import (
+    ViewCache,
+    able_for,
+    cached,
+    count_by_zone_and_machine,
+    fitting,
+    preemption_candidates,
+    view_of,
+    with_services_only,
+)
+from kelpjunction.placement import (
+    MachineSelection,
+    MachineView,
+    PreemptionCache,
+    Victim,
+    place,
+    place_gang,
+    plan_preemptions,
+)
+from kelpjunction.queue import PendingJob, PreemptionPolicy, in_order
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.settings import OperatorSettings, PlatformSettings
 from kelpjunction.store.client import Transaction
 from kelpjunction.wire.messages import Cause, JobSpec, Shape, TaskId
-from kelpjunction.workers.contact import Reachability
-from kelpjunction.workers.roster import Roster
+from kelpjunction.workers.reachability import Reachability
+from kelpjunction.workers.registry import WorkerRegistry
 
 log = logging.getLogger("jobs")
 
-MOST_RESULTS = 24  # records written before what was handed over is started
-MOST_STARTS = 24
-PAGE_SHARE = 0.8  # of what a value may take: how long a page of attempts that are over may grow
-ROW_BYTES = 16
-OVER_SHARE = 0.2
-EXPIRED_EVERY = timedelta(milliseconds=500)
-HAND_BACK_AFTER = timedelta(milliseconds=500)
+MAX_RESULT_TXNS = 24  # records written before what was handed over is started
+MAX_START_TXNS = 24
+PAGE_FILL_LIMIT = 0.8  # of what a value may take: how long a page of attempts that are over may grow
+SETTLED_ROW_BYTES = 16
+SETTLED_PAGE_WRITE_SHARE = 0.2
+LEASE_EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=500)
+DISPATCH_RETURN_DELAY = timedelta(milliseconds=500)
 
 
-class Holding:
+class HolderScheduler:
     """The tasks of the blocks that this node holds."""
 
     def __init__(
         self,
-        platform: Platform,
-        operators: Operators,
-        records: Records,
-        book: Book,
+        platform: PlatformSettings,
+        operators: OperatorSettings,
+        record_writer: RecordWriter,
+        job_index: JobIndex,
         blocks: Blocks,
-        roster: Roster,
+        worker_registry: WorkerRegistry,
         fleet: Fleet,
-        blame: Blame,
+        failure_attribution: FailureAttribution,
         clock: Clock,
-        changes: Changes,
+        changes: ChangeTracker,
     ) -> None:
         self._platform = platform
         self._operators = operators
-        self._blame = blame
-        self._rights = Rights(platform.teams, platform.aimed)
-        self._records = records
-        self._book = book
+        self._failure_attribution = failure_attribution
+        self._preemption_policy = PreemptionPolicy(platform.teams, platform.classes_with_objectives)
+        self._record_writer = record_writer
+        self._job_index = job_index
         self._blocks = blocks
-        self._roster = roster
+        self._worker_registry = worker_registry
         self._fleet = fleet
         self._clock = clock
         self._expired_at = ZERO
-        self._kept = Views(changes, fleet, lambda: roster.workers, self._view)
+        self._view_cache = ViewCache(changes, fleet, lambda: worker_registry.workers, self._view)
         # Of the rate of changes, what the pages of all blocks may take together.
-        self._over_every = seconds(len(platform.zones) / (OVER_SHARE * platform.store.write_rps))
-        self._over_at: dict[str, timedelta] = {}
-        self._roomless: dict[str, timedelta] = {}  # since when a handed job finds no room
+        self._settled_page_interval = seconds(
+            len(platform.zones) / (SETTLED_PAGE_WRITE_SHARE * platform.store.write_rps)
+        )
+        self._settled_page_written_at: dict[str, timedelta] = {}
+        self._unplaced_since: dict[str, timedelta] = {}  # since when a handed job finds no room
 
-    def gain(self, zone: str) -> None:
+    def on_block_gained(self, zone: str) -> None:
         """A block became ours: start from the records alone."""
-        self._book.forget_notes(zone)
-        self._roster.clear(zone)
+        self._job_index.reset_observations(zone)
+        self._worker_registry.clear(zone)
 
     def round(self) -> bool:
         """Bring the records of our blocks up to date; whether another round should follow at once."""
-        if not self._blocks.my_zones():
+        if not self._blocks.held_zones():
             return False
-        self._raise_doubted()
+        self._raise_uncertain_tokens()
         now = self._clock.steady()
-        if now - self._expired_at >= EXPIRED_EVERY:
+        if now - self._expired_at >= LEASE_EXPIRY_CHECK_INTERVAL:
             self._expired_at = now
-            self._roster.settle_expired()
+            self._worker_registry.settle_expired()
         results = self._results()
-        if not self._records.write(results):
+        if not self._record_writer.write(results):
             return True
-        self.stop_what_must()
-        started = self._start_handed()
+        self.stop_required()
+        started = self._start_dispatched()
         return bool(results) or started
 
-    def _raise_doubted(self) -> None:
+    def _raise_uncertain_tokens(self) -> None:
         """Raise the token of blocks where a command may still be under way."""
-        zones = sorted(self._roster.zones_to_raise)
-        if zones and self._blocks.raise_tokens(zones):
-            self._roster.zones_to_raise.difference_update(zones)
+        zones = sorted(self._worker_registry.zones_needing_new_token)
+        if zones and self._blocks.issue_new_tokens(zones):
+            self._worker_registry.zones_needing_new_token.difference_update(zones)
 
     def _guarded(self, job: Job, zones: set[str], purpose: Purpose | None = None) -> Transaction:
         """A transaction that fails if the job was cancelled, or a block is not ours any more."""
-        txn = self._records.guarded(job, purpose)
+        txn = self._record_writer.guarded(job, purpose)
         for zone in zones:
             txn.guard(block_key(zone), self._blocks.grants[zone].version)
         return txn
@@ -124,29 +143,34 @@
     def _results(self) -> list[Transaction]:
         """What must be written about settled placements: services first, the rest as far as one round goes."""
         touched: dict[str, set[int]] = {}
-        for placement in self._book.settled.values():
-            if self._blocks.mine(placement.zone) is not None:
-                touched.setdefault(placement.task.ref, set()).add(placement.task.index // CHUNK)
+        for placement in self._job_index.settled.values():
+            if self._blocks.own_grant(placement.zone) is not None:
+                touched.setdefault(placement.task.ref, set()).add(placement.task.index // CHUNK_TASKS)
         txns: list[Transaction] = []
-        over: dict[str, dict[tuple[str, int], set[Over]]] = {}  # by block, what goes into its page
-        for job in sorted(map(self._book.jobs.__getitem__, touched), key=lambda j: j.spec.shape is not Shape.SERVICE):
-            if len(txns) >= MOST_RESULTS:
+        over: dict[str, dict[tuple[str, int], set[SettledAttempt]]] = {}  # by block, what goes into its page
+        for job in sorted(
+            map(self._job_index.jobs.__getitem__, touched), key=lambda j: j.spec.shape is not Shape.SERVICE
+        ):
+            if len(txns) >= MAX_RESULT_TXNS:
                 break
             txns.extend(self._settle_job(job, touched[job.spec.ref], over))
         now = self._clock.steady()
         for zone, rows in over.items():
-            if now - self._over_at.get(zone, -self._over_every) >= self._over_every:
-                self._over_at[zone] = now
-                txns += self._page_of_over(zone, rows)
+            if (
+                now - self._settled_page_written_at.get(zone, -self._settled_page_interval)
+                >= self._settled_page_interval
+            ):
+                self._settled_page_written_at[zone] = now
+                txns += self._settled_page_txns(zone, rows)
             else:
-                self._records.short = True  # with what ends meanwhile, in a round soon
+                self._record_writer.work_deferred = True  # with what ends meanwhile, in a round soon
         return txns
 
     def _settle_job(
-        self, job: Job, numbers: set[int], pages: dict[str, dict[tuple[str, int], set[Over]]]
+        self, job: Job, numbers: set[int], pages: dict[str, dict[tuple[str, int], set[SettledAttempt]]]
     ) -> list[Transaction]:
         """What is to be written of a job's settled placements; or it is put into their blocks' pages."""
-        over = [p for p in job.placements() if p.phase is Phase.SETTLED and self._blocks.mine(p.zone) is not None]
+        over = [p for p in job.placements() if p.phase is Phase.SETTLED and self._blocks.own_grant(p.zone) is not None]
         if job.spec.shape is Shape.GANG and any(p.cause is Cause.DONE for p in over):
             # They complete together, those in other blocks too.
             numbers = set(job.chunks)
@@ -154,18 +178,18 @@
             done = set(over)
         else:
             done = {p for p in over if p.cause is Cause.DONE}
-        records = {number: self._settled_chunk(job, number, set(over), done) for number in numbers}
+        records = {number: self._record_without_settled(job, number, set(over), done) for number in numbers}
         if not job.cancelled and self._finished(job, records):
-            return [self._records.ending(job)]
-        if self._may_wait(job, over, records):
+            return [self._record_writer.end_transaction(job)]
+        if self._settled_page_suffices(job, over, records):
             for p in over:
-                number, index = divmod(p.task.index, CHUNK)
-                row = Over(index, p.attempt, p in done)
+                number, index = divmod(p.task.index, CHUNK_TASKS)
+                row = SettledAttempt(index, p.attempt, p in done)
                 pages.setdefault(p.zone, {}).setdefault((job.spec.ref, number), set()).add(row)
             return []
-        return self._chunk_txns(job, records, {p.zone for p in over if self._blocks.mine(p.zone) is not None})
+        return self._chunk_txns(job, records, {p.zone for p in over if self._blocks.own_grant(p.zone) is not None})
 
-    def _may_wait(self, job: Job, over: list[Placement], records: dict[int, dict]) -> bool:
+    def _settled_page_suffices(self, job: Job, settled: list[Placement], records: dict[int, dict]) -> bool:
         """Whether all that is to be said of these placements is that they are over, so that their block's page can.
 
         Not what speaks against machines, nor what is metered, nor a chunk that
@@ -173,29 +197,31 @@
         """
         return (
             job.spec.shape is Shape.ARRAY
-            and not self._operators.metered
-            and all(p.cause is not Cause.ERROR for p in over)
+            and not self._operators.records_machine_time
+            and all(p.cause is not Cause.ERROR for p in settled)
             and (job.chunk_count == 1 or all(r["d"].bit_count() < job.chunk_size(n) for n, r in records.items()))
         )
 
-    def _page_of_over(self, zone: str, new: dict[tuple[str, int], set[Over]]) -> list[Transaction]:
+    def _settled_page_txns(self, zone: str, new: dict[tuple[str, int], set[SettledAttempt]]) -> list[Transaction]:
         """A block's page with these rows; what makes it too long is folded into its chunks' records."""
-        rows = self._book.over_rows(zone)
+        rows = self._job_index.settled_rows(zone)
         for chunk, overs in new.items():
             rows[chunk] = rows.get(chunk, set()) | overs
         txns: list[Transaction] = []
-        room = self._records.value_bytes * PAGE_SHARE - 20
+        room = self._record_writer.value_bytes * PAGE_FILL_LIMIT - 20
         for ref, number in sorted(rows, key=lambda c: len(rows[c])):
-            room -= len(ref) + 20 + ROW_BYTES * len(rows[ref, number])
+            room -= len(ref) + 20 + SETTLED_ROW_BYTES * len(rows[ref, number])
             if room < 0:
                 del rows[ref, number]
-                job = self._book.jobs[ref]
-                txns += self._chunk_txns(job, {number: self._folded(job, number, new.get((ref, number), ()))}, {zone})
-        key = OVER_PREFIX + zone
+                job = self._job_index.jobs[ref]
+                txns += self._chunk_txns(
+                    job, {number: self._record_with_settled_rows(job, number, new.get((ref, number), ()))}, {zone}
+                )
+        key = SETTLED_PREFIX + zone
         txn = Transaction(Purpose.RESULT).guard(block_key(zone), self._blocks.grants[zone].version)
-        return [txn.guard(key, self._records.version(key)).put(key, over_record(rows)), *txns]
+        return [txn.guard(key, self._record_writer.version(key)).put(key, settled_page(rows)), *txns]
 
-    def _folded(self, job: Job, number: int, overs: Iterable[Over]) -> dict:
+    def _record_with_settled_rows(self, job: Job, number: int, overs: Iterable[SettledAttempt]) -> dict:
         """A chunk's record with what its block's page says of it, and with these rows too."""
         record = job.chunks[number].record()
         gone = {o.index for o in overs}
@@ -205,11 +231,11 @@
             record["d"] |= int(done) << index
         return record
 
-    def _settled_chunk(self, job: Job, number: int, over: set[Placement], done: set[Placement]) -> dict:
+    def _record_without_settled(self, job: Job, number: int, settled: set[Placement], done: set[Placement]) -> dict:
         """A chunk's record without what is over; what did not end well goes back to the leader."""
         chunk = job.chunks[number]
         record = chunk.record()
-        gone = {i for i, p in chunk.placements.items() if p in over}
+        gone = {i for i, p in chunk.placements.items() if p in settled}
         # A service's replica is started again in its block even if nobody
         # leads; everything else the leader hands over anew.
         keep = job.spec.shape is Shape.SERVICE and not job.cancelled
@@ -219,17 +245,17 @@
         for i, placement in chunk.placements.items():
             if placement in done:
                 record["d"] |= 1 << i
-            if i in gone and (held := placement.held_ms(now)):
+            if i in gone and (held := placement.machine_time_ms(now)):
                 record["u"] = record.get("u", 0) + held
         failed = [p.machine for i, p in chunk.placements.items() if i in gone and p.cause is Cause.ERROR]
-        return record | chunk.failed(failed) if failed else record
+        return record | chunk.failure_fields(failed) if failed else record
 
     def _finished(self, job: Job, records: dict[int, dict]) -> bool:
         if job.spec.shape is Shape.SERVICE:
             return False
-        done = sum(job.chunk_size(n) for n in job.full)
+        done = sum(job.chunk_size(n) for n in job.folded_chunks)
         for number, chunk in job.chunks.items():
-            if number not in job.full:
+            if number not in job.folded_chunks:
                 record = records.get(number)
                 done += (record["d"] if record else chunk.done).bit_count()
         return done >= job.spec.tasks
@@ -246,8 +272,8 @@
             if whole and not record["p"] and job.chunk_count > 1 and not folded:
                 folded = True
                 sum_key = SUM_PREFIX + job.spec.ref
-                folded_up = {"full": ranges(job.full | {number})}
-                if spent := job.sum_spent + record.get("u", 0):
+                folded_up = {"full": ranges(job.folded_chunks | {number})}
+                if spent := job.folded_ms + record.get("u", 0):
                     folded_up["u"] = spent
                 txn.guard(sum_key, job.sum_version).put(sum_key, folded_up)
                 txn.delete(key)
@@ -258,7 +284,7 @@
 
     # -- stopping -----------------------------------------------------------
 
-    def stop_what_must(self) -> None:
+    def stop_required(self) -> None:
         """Stop tasks of cancelled jobs, of broken gangs, and on machines about to be taken.
 
         Writes nothing and waits for nothing, so it has a loop of its own: once
@@ -266,62 +292,63 @@
         cancelled jobs ran on for longer than they may.
         """
         told: list[Placement] = []
-        for ref in self._book.cancelled:
-            told += self._stop_all(self._book.jobs[ref], ZERO, "cancelled")
-        for ref in self._book.gangs - self._book.cancelled:
-            job = self._book.jobs[ref]
+        for ref in self._job_index.cancelled:
+            told += self._stop_all(self._job_index.jobs[ref], ZERO, "cancelled")
+        for ref in self._job_index.gangs - self._job_index.cancelled:
+            job = self._job_index.jobs[ref]
             if job.broken_gang():
                 told += self._stop_all(job, ZERO, "its gang is not whole")
-            elif not all(p.live for p in job.placements()):
+            elif not all(p.is_active for p in job.placements()):
                 told += self._stop_all(job, job.spec.save, "its gang is being stopped")
         now = self._clock.steady()
-        for worker in self._roster.workers.values():
-            if worker.notice_at is None:
+        for worker in self._worker_registry.workers.values():
+            if worker.reclaim_at is None:
                 continue
-            for placement in self._book.on(worker.machine).values():
+            for placement in self._job_index.placements_on(worker.machine).values():
                 spec = placement.spec
                 margin = spec.save * 1.2 + self._platform.workers.report * 1.5
-                if placement.live and spec.checkpoint and worker.notice_at - now < margin:
-                    self._roster.stop(placement, spec.save, "its machine is taken back")
+                if placement.is_active and spec.checkpoint and worker.reclaim_at - now < margin:
+                    self._worker_registry.stop(placement, spec.save, "its machine is taken back")
                     told.append(placement)
-        self._roster.send(told)
+        self._worker_registry.send(told)
 
-    def _stop_all(self, job: Job, grace: timedelta, why: str) -> list[Placement]:
+    def _stop_all(self, job: Job, grace: timedelta, reason: str) -> list[Placement]:
         """Stop all of a job's tasks in our blocks; of those that are saving, such as may do so for longer."""
         stopped = [
             p
             for p in job.placements()
-            if (p.live or (p.phase is Phase.STOPPING and grace < p.grace)) and self._blocks.mine(p.zone) is not None
+            if (p.is_active or (p.phase is Phase.STOPPING and grace < p.grace))
+            and self._blocks.own_grant(p.zone) is not None
         ]
         for placement in stopped:
-            self._roster.stop(placement, grace, why)
+            self._worker_registry.stop(placement, grace, reason)
         return stopped
 
     # -- starting -----------------------------------------------------------
 
-    def _start_handed(self) -> bool:
+    def _start_dispatched(self) -> bool:
         """Start what the leader handed to our blocks; whether anything was started or handed back."""
-        handed: dict[str, list[tuple[TaskId, Handed]]] = {}
-        for job in map(self._book.jobs.__getitem__, self._book.handed):
-            ours = [(t, h) for t, h in job.pending() if self._blocks.mine(h.zone) is not None]
-            if job.spec.shape is Shape.SERVICE and job.failures and self._blame.wrong(job):
+        handed: dict[str, list[tuple[TaskId, DispatchTarget]]] = {}
+        for job in map(self._job_index.jobs.__getitem__, self._job_index.dispatched_jobs):
+            ours = [(t, h) for t, h in job.unstarted_dispatches() if self._blocks.own_grant(h.zone) is not None]
+            if job.spec.shape is Shape.SERVICE and job.failures and self._failure_attribution.is_failing_job(job):
                 # Its replicas are restarted here, without the leader.
-                ours = ours[: 1 if self._blame.due(job) else 0]
+                ours = ours[: 1 if self._failure_attribution.retry_due(job) else 0]
             if ours:
                 handed[job.spec.ref] = ours
-        self._roomless = {ref: since for ref, since in self._roomless.items() if ref in handed}
+        self._unplaced_since = {ref: since for ref, since in self._unplaced_since.items() if ref in handed}
         if not handed:
             return False
-        self._fleet.note_scarce()
+        self._fleet.note_accelerator_specs()
         views = self._views()
         txns: list[Transaction] = []
         written: Counter[Shape] = Counter()
         starting: list[TaskId] = []
-        roomless: list[tuple[Job, list[tuple[TaskId, Handed]]]] = []
+        roomless: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]] = []
         more = False
         for ref in self._order(handed):
-            job = self._book.jobs[ref]
-            if written[job.spec.shape] >= MOST_STARTS and job.spec.shape is not Shape.SERVICE:
+            job = self._job_index.jobs[ref]
+            if written[job.spec.shape] >= MAX_START_TXNS and job.spec.shape is not Shape.SERVICE:
                 more = True
                 continue  # in the next round: what it writes now must not keep services waiting
             starts, left = self._choose(job, handed[ref], views)
@@ -332,13 +359,13 @@
             if left:
                 roomless.append((job, left))
             else:
-                self._roomless.pop(ref, None)
+                self._unplaced_since.pop(ref, None)
         if txns:
-            if not self._records.write(txns):
+            if not self._record_writer.write(txns):
                 return True
-            placed = [self._book.placement(task) for task in starting]
-            self._roster.send([p for p in placed if p is not None and p.live])
-        back = self._make_room(roomless, views)
+            placed = [self._job_index.placement(task) for task in starting]
+            self._worker_registry.send([p for p in placed if p is not None and p.is_active])
+        back = self._preempt_or_return(roomless, views)
         return bool(txns) or back or more
 
     def _order(self, handed: dict[str, list]) -> list[str]:
@@ -347,9 +374,12 @@
         The leader found room for all of it together.  An array that chose its
         machines first here took those that the gang needed whole.
         """
-        jobs = [self._book.jobs[ref] for ref in handed]
+        jobs = [self._job_index.jobs[ref] for ref in handed]
         order = in_order(
-            (Waiting(j.spec.ref, weight_of(j.spec, self._operators), j.submitted, j.received) for j in jobs),
+            (
+                PendingJob(j.spec.ref, weight_of(j.spec, self._operators), j.submitted, j.task_time_received)
+                for j in jobs
+            ),
             self._clock.utc(),
             self._operators.arrival_credit,
         )
@@ -357,77 +387,77 @@
         def turn(ref: str) -> int:
             if any(h.machine is not None for _, h in handed[ref]):
                 return 0
-            return 2 if self._book.jobs[ref].spec.shape is Shape.ARRAY else 1
+            return 2 if self._job_index.jobs[ref].spec.shape is Shape.ARRAY else 1
 
         return sorted(order, key=turn)
 
     def _choose(
-        self, job: Job, ours: list[tuple[TaskId, Handed]], views: Choice
-    ) -> tuple[list[tuple[TaskId, View, int | None]], list[tuple[TaskId, Handed]]]:
+        self, job: Job, dispatched: list[tuple[TaskId, DispatchTarget]], views: MachineSelection
+    ) -> tuple[list[tuple[TaskId, MachineView, int | None]], list[tuple[TaskId, DispatchTarget]]]:
         """Machines for a job's handed tasks; and the tasks that found none."""
         spec = job.spec
         able = able_for(job, views)
         if spec.shape is Shape.GANG:
-            return self._choose_for_gang(job, ours, able, views)
-        starts: list[tuple[TaskId, View, int | None]] = []
-        left: list[tuple[TaskId, Handed]] = []
-        _, mates = spread_of(job)
-        plain: list[tuple[TaskId, Handed]] = []
-        for task, handed in ours:
+            return self._choose_for_gang(job, dispatched, able, views)
+        starts: list[tuple[TaskId, MachineView, int | None]] = []
+        left: list[tuple[TaskId, DispatchTarget]] = []
+        _, mates = count_by_zone_and_machine(job)
+        plain: list[tuple[TaskId, DispatchTarget]] = []
+        for task, handed in dispatched:
             # The leader named a machine that is held or kept here, as the job had stood beside its room for long.
             view = able.get(handed.machine)
-            if view is not None and view.has_room(spec):
-                view.take(spec)
+            if view is not None and view.fits_ignoring_reservations(spec):
+                view.allocate(spec)
                 starts.append((task, view, handed.attempt))
             else:
                 plain.append((task, handed))  # that room is gone, or none was named: anywhere in the block
-        ours = plain
-        for zone in sorted({h.zone for _, h in ours}):
-            tasks = [(t, h) for t, h in ours if h.zone == zone]
+        dispatched = plain
+        for zone in sorted({h.zone for _, h in dispatched}):
+            tasks = [(t, h) for t, h in dispatched if h.zone == zone]
             there = able.within([zone])
-            chosen = place(spec, len(tasks), there, Counter(), mates, self._fleet.budget(job))
+            chosen = place(spec, len(tasks), there, Counter(), mates, self._fleet.price_limit(job))
             starts += [(task, view, None) for (task, _), view in zip(tasks, chosen, strict=False)]
             left += tasks[len(chosen) :]
         return starts, left
 
     def _choose_for_gang(
-        self, job: Job, ours: list[tuple[TaskId, Handed]], able: Choice, views: Choice
-    ) -> tuple[list[tuple[TaskId, View, int | None]], list[tuple[TaskId, Handed]]]:
+        self, job: Job, dispatched: list[tuple[TaskId, DispatchTarget]], able: MachineSelection, views: MachineSelection
+    ) -> tuple[list[tuple[TaskId, MachineView, int | None]], list[tuple[TaskId, DispatchTarget]]]:
         """A gang that spans blocks starts where the leader said; one that was handed whole, where it fits."""
         spec = job.spec
-        named = [(t, h) for t, h in ours if h.machine is not None]
+        named = [(t, h) for t, h in dispatched if h.machine is not None]
         if named:
             starts = []
             for task, handed in named:
                 view = able.get(handed.machine)
-                if view is None or not view.has_room(spec):
+                if view is None or not view.fits_ignoring_reservations(spec):
                     return [], named
-                view.take(spec)
+                view.allocate(spec)
                 starts.append((task, view, handed.attempt))
             return starts, []
-        if len(ours) < spec.tasks or job.placed_count():
+        if len(dispatched) < spec.tasks or job.placed_count():
             return [], []  # the rest of it is still being handed over, or leaving
-        zones = {h.zone for _, h in ours}
+        zones = {h.zone for _, h in dispatched}
         chosen = place_gang(spec, able.within(zones))
         if chosen is not None:
             attempt = max(c.next_attempt for c in job.chunks.values())
-            return [(task, view, attempt) for (task, _), view in zip(ours, chosen, strict=True)], []
+            return [(task, view, attempt) for (task, _), view in zip(dispatched, chosen, strict=True)], []
         # Nothing below it in the order starts on the machines picked for it.
         fit = fitting(spec, able.within(zones))
-        held = place_gang(spec, [emptied(v, self._on(v)) for v in fit]) or []
+        held = place_gang(spec, [with_services_only(v, self._on(v)) for v in fit]) or []
         for name in {v.name for v in held}:
-            views.get(name).hold_for(spec.ref)
-        return [], [] if held else ours
+            views.get(name).hold_for_gang(spec.ref)
+        return [], [] if held else dispatched
 
-    def _on(self, view: View) -> list[Placement]:
-        return list(self._book.on(view.name).values())
+    def _on(self, view: MachineView) -> list[Placement]:
+        return list(self._job_index.placements_on(view.name).values())
 
-    def _start_txns(self, job: Job, starts: list[tuple[TaskId, View, int | None]]) -> list[Transaction]:
+    def _start_txns(self, job: Job, starts: list[tuple[TaskId, MachineView, int | None]]) -> list[Transaction]:
         """Launch records, guarded by the job, the chunk and the blocks' grants."""
-        metered = [job.age_ms(self._clock.utc())] if self._operators.metered else []
-        by_chunk: dict[int, list[tuple[TaskId, View, int | None]]] = {}
+        metered = [job.age_ms(self._clock.utc())] if self._operators.records_machine_time else []
+        by_chunk: dict[int, list[tuple[TaskId, MachineView, int | None]]] = {}
         for start in starts:
-            by_chunk.setdefault(start[0].index // CHUNK, []).append(start)
+            by_chunk.setdefault(start[0].index // CHUNK_TASKS, []).append(start)
         txns = []
         for number, group in by_chunk.items():
             chunk = job.chunks[number]
@@ -440,104 +470,106 @@
             for task, view, named in group:
                 attempt = chunk.next_attempt if named is None else named
                 record["n"] = max(record["n"], attempt + 1)
-                session = self._roster.workers[view.name].session
-                record["p"].append([task.index % CHUNK, attempt, view.name, session, view.zone, *metered])
+                session = self._worker_registry.workers[view.name].session
+                record["p"].append([task.index % CHUNK_TASKS, attempt, view.name, session, view.zone, *metered])
             txns.append(txn.put(run_key(job.spec.ref, number), record))
         return txns
 
-    def _views(self) -> Choice:
+    def _views(self) -> MachineSelection:
         """Machines of our blocks that can take work now; each block is chosen from by itself."""
         heard_since = self._clock.steady() - self._platform.workers.report * 2.5
-        workers = self._roster.workers
+        workers = self._worker_registry.workers
 
-        def ready(view: View) -> bool:
+        def ready(view: MachineView) -> bool:
             # A worker may be forgotten while this round waits for an answer.
             worker = workers.get(view.name)
-            return worker is not None and worker.contact.proved_at >= heard_since
+            return worker is not None and worker.reachability_tracker.proved_at >= heard_since
 
-        return replace(self._kept.fresh().within(self._blocks.my_zones()), ready=ready)
+        return replace(self._view_cache.fresh().within(self._blocks.held_zones()), ready=ready)
 
-    def _view(self, name: str) -> View | None:
+    def _view(self, name: str) -> MachineView | None:
         """A machine that reports to us and is not about to be taken."""
-        worker, machine = self._roster.workers.get(name), self._fleet.machines.get(name)
+        worker, machine = self._worker_registry.workers.get(name), self._fleet.machines.get(name)
         type_ = self._fleet.catalog.get(machine.type) if machine else None
         if worker is None or type_ is None or not machine.usable:
             return None
-        if worker.contact.reachability is not Reachability.REACHABLE:
+        if worker.reachability_tracker.reachability is not Reachability.REACHABLE:
             return None
         images = cached(reversed(worker.images.items()), type_.cache_gb)
-        return view_of(machine, type_, images, self._book.load(name), self._fleet)
+        return view_of(machine, type_, images, self._job_index.load(name), self._fleet)
 
     # -- making room ----------------------------------------------------------
 
-    def _make_room(self, roomless: list[tuple[Job, list[tuple[TaskId, Handed]]]], views: Choice) -> bool:
+    def _preempt_or_return(
+        self, roomless: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]], views: MachineSelection
+    ) -> bool:
         """Stop others for those without room; give back to the leader what finds none here."""
         if not roomless:
             return False
         now = self._clock.steady()
         victims = self._victims([job for job, _ in roomless], views, now)
-        stops = Found(victims, self._rights)
+        stops = PreemptionCache(victims, self._preemption_policy)
         told: list[Placement] = []
         back: list[Transaction] = []
         for job, left in roomless:
-            if job.spec.ref not in self._book.jobs:
+            if job.spec.ref not in self._job_index.jobs:
                 continue  # it ended while the launches were written
-            since = self._roomless.setdefault(job.spec.ref, now)
-            if job.spec.shape is not Shape.GANG and self._stop_for(job, left, views, stops, told):
+            since = self._unplaced_since.setdefault(job.spec.ref, now)
+            if job.spec.shape is not Shape.GANG and self._preempt_for(job, left, views, stops, told):
                 continue
-            if now - since >= HAND_BACK_AFTER:
-                del self._roomless[job.spec.ref]
-                back += self._hand_back(job, left)
-        self._roster.send(told)
+            if now - since >= DISPATCH_RETURN_DELAY:
+                del self._unplaced_since[job.spec.ref]
+                back += self._return_dispatches(job, left)
+        self._worker_registry.send(told)
         if back:
-            self._records.write(back)
+            self._record_writer.write(back)
         return bool(back)
 
-    def _hand_back(self, job: Job, left: list[tuple[TaskId, Handed]]) -> list[Transaction]:
-        log.info("job %s: no room here for %d of its tasks", job.spec.ref, len(left))
+    def _return_dispatches(self, job: Job, unplaced: list[tuple[TaskId, DispatchTarget]]) -> list[Transaction]:
+        log.info("job %s: no room here for %d of its tasks", job.spec.ref, len(unplaced))
         txns = []
-        for number in sorted({t.index // CHUNK for t, _ in left}):
-            mine = {t.index % CHUNK for t, _ in left if t.index // CHUNK == number}
+        for number in sorted({t.index // CHUNK_TASKS for t, _ in unplaced}):
+            mine = {t.index % CHUNK_TASKS for t, _ in unplaced if t.index // CHUNK_TASKS == number}
             chunk = job.chunks[number]
             record = chunk.record()
             record["h"] = [row for row in record["h"] if row[0] not in mine]
             key = run_key(job.spec.ref, number)
-            zones = {h.zone for _, h in left}
+            zones = {h.zone for _, h in unplaced}
             txns.append(self._guarded(job, zones).guard(key, chunk.version).put(key, record))
         return txns
 
-    def _victims(self, jobs: list[Job], views: Choice, now: timedelta) -> dict[str, list[Victim]]:
+    def _victims(self, jobs: list[Job], views: MachineSelection, now: timedelta) -> dict[str, list[Victim]]:
         """What could be stopped for these jobs, by machine; room that is being freed is given to the views."""
         for view in list(views):
-            for placement in self._book.on(view.name).values():
+            for placement in self._job_index.placements_on(view.name).values():
                 if placement.phase is Phase.STOPPING:
-                    view.give_back(placement.spec)
+                    view.release(placement.spec)
 
         def victim(placement: Placement) -> Victim | None:
-            ours = placement.live and self._blocks.mine(placement.zone) is not None
+            ours = placement.is_active and self._blocks.own_grant(placement.zone) is not None
             return self._victim(placement, now) if ours else None
 
-        return stoppable(self._book, self._rights, [job.spec for job in jobs], victim)
+        return preemption_candidates(self._job_index, self._preemption_policy, [job.spec for job in jobs], victim)
 
-    def _stop_for(
+    def _preempt_for(
         self,
         job: Job,
-        left: list[tuple[TaskId, Handed]],
-        views: Choice,
-        stops: Found,
-        told: list[Placement],
+        unplaced: list[tuple[TaskId, DispatchTarget]],
+        views: MachineSelection,
+        stops: PreemptionCache,
+        stopped: list[Placement],
     ) -> bool:
         """Stop others for these tasks, as far as the job may; whether all of them will find room."""
         spec = job.spec
-        _, mates = spread_of(job)
-        for zone in sorted({h.zone for _, h in left}):
+        _, mates = count_by_zone_and_machine(job)
+        for zone in sorted({h.zone for _, h in unplaced}):
             there = views.within([zone])
-            count = sum(h.zone == zone for _, h in left)
-            count -= len(place(spec, count, there, Counter(), mates, self._fleet.budget(job)))
-            found = make_room(spec, count, there, stops, Counter())
+            count = sum(h.zone == zone for _, h in unplaced)
+            count -= len(place(spec, count, there, Counter(), mates, self._fleet.price_limit(job)))
+            found = plan_preemptions(spec, count, there, stops, Counter())
             for _, chosen in found:
                 for victim in chosen:
-                    told += self._stop_victim(victim.placement, spec)
+                    stopped += self._stop_victim(victim.placement, spec)
             if len(found) < count:
                 return False
         return True
@@ -553,16 +585,16 @@
         return Victim(placement, spec, loss)
 
     def _stop_victim(self, placement: Placement, for_: JobSpec) -> list[Placement]:
-        job = self._book.jobs[placement.task.ref]
+        job = self._job_index.jobs[placement.task.ref]
         why = f"{for_.ref} needs its room"
         log.info("stopping %s on %s: %s", placement.task, placement.machine, why)
         if job.spec.shape is Shape.GANG:
             return self._stop_all(job, job.spec.save, why)
         # No time to save for a service that waits: the last checkpoint is not far.
-        self._roster.stop(placement, ZERO if for_.shape is Shape.SERVICE else placement.spec.save, why)
+        self._worker_registry.stop(placement, ZERO if for_.shape is Shape.SERVICE else placement.spec.save, why)
         return [placement]
 
 
-def weight_of(spec: JobSpec, operators: Operators) -> float:
+def weight_of(spec: JobSpec, operators: OperatorSettings) -> float:
     """How fast a waiting job's deficit grows: by its shape, and by its urgency within the shape."""
     return operators.class_weights[spec.shape.value] * operators.urgency_weights[spec.priority.name.lower()]
--- a/kelpjunction/jobs/book.py
+++ b/kelpjunction/jobs/job_index.py
@@ -21,7 +21,7 @@
 Where machine time is metered, a placement's row says when its start was
 committed, and whoever settles it adds the time it held its place to the
 chunk's record in the same transaction: what a job has held until now follows
-from its records alone (`Job.held_ms`), whatever failed meanwhile.
+from its records alone (`Job.machine_time_ms`), whatever failed meanwhile.
 """
 
 from collections import Counter
@@ -33,7 +33,7 @@
 
 from sortedcontainers import SortedKeyList
 
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import MILLISECOND, ZERO
 from kelpjunction.wire.messages import Cause, JobPhase, JobSpec, Shape, TaskId
 from kelpjunction.wire.users import job_from_fields
@@ -41,11 +41,11 @@
 JOB_PREFIX = "l/job/"
 RUN_PREFIX = "l/run/"
 SUM_PREFIX = "l/sum/"
-OVER_PREFIX = "l/over/"
-HAND_PREFIX = "l/hand/"
+SETTLED_PREFIX = "l/over/"
+DISPATCH_PREFIX = "l/hand/"
 END_PREFIX = "e/"
-CHUNK = 64
-MOST_FAILED_ON = 8  # machines a chunk's record names: enough to tell a wrong job by
+CHUNK_TASKS = 64
+MAX_FAILED_MACHINES = 8  # machines a chunk's record names: enough to tell a wrong job by
 
 
 class Phase(Enum):
@@ -81,9 +81,9 @@
     reason: str = ""
     cause: Cause | None = None
     saved: bool = False
-    started: int | None = None  # when its start was committed, in ms since its job's submission, if metered
-    seen: bool = False  # some report listed it
-    told_at: timedelta | None = None  # when the answer to a report last said to start it
+    started_ms: int | None = None  # when its start was committed, in ms since its job's submission, if metered
+    was_reported: bool = False  # some report listed it
+    start_sent_at: timedelta | None = None  # when the answer to a report last said to start it
 
     def advance(self, phase: Phase, now: timedelta) -> None:
         """The one place where the phase changes."""
@@ -96,23 +96,23 @@
             self.running_since = now
 
     @property
-    def live(self) -> bool:
+    def is_active(self) -> bool:
         return self.phase not in (Phase.STOPPING, Phase.SETTLED)
 
-    def held_ms(self, now: int) -> int:
+    def machine_time_ms(self, now: int) -> int:
         """How long it has held its place, in ms; `now` counts from the job's submission.
 
         Two nodes' times of day may differ a little: it never held less than nothing.
         """
-        return 0 if self.started is None else max(0, now - self.started)
+        return 0 if self.started_ms is None else max(0, now - self.started_ms)
 
     def row(self, index: int) -> list:
         """This placement as its chunk's record holds it."""
         row = [index, self.attempt, self.machine, self.session, self.zone]
-        return row if self.started is None else [*row, self.started]
+        return row if self.started_ms is None else [*row, self.started_ms]
 
 
-class Handed(NamedTuple):
+class DispatchTarget(NamedTuple):
     """The leader's leave to start a task in a block, on a named machine where the task's gang spans blocks."""
 
     zone: str
@@ -120,17 +120,17 @@
     attempt: int | None = None
 
 
-class Hand(NamedTuple):
+class ChunkDispatch(NamedTuple):
     """What was handed over of a chunk as it was at a version."""
 
     version: int
-    tasks: dict[int, Handed]
+    tasks: dict[int, DispatchTarget]
 
     @classmethod
-    def of(cls, row: list) -> "Hand":
+    def of(cls, row: list) -> "ChunkDispatch":
         version, zones, named = row
-        tasks = {i: Handed(zone) for zone, indexes in zones.items() for i in indexes}
-        return cls(version, tasks | {i: Handed(*rest) for i, *rest in named})
+        tasks = {i: DispatchTarget(zone) for zone, indexes in zones.items() for i in indexes}
+        return cls(version, tasks | {i: DispatchTarget(*rest) for i, *rest in named})
 
     def row(self) -> list:
         """This as its page holds it."""
@@ -144,48 +144,58 @@
 class Chunk:
     """Up to 64 consecutive tasks."""
 
-    __slots__ = ("done", "failed_on", "failures", "handed", "listed", "next_attempt", "placements", "spent", "version")
+    __slots__ = (
+        "dispatched",
+        "done",
+        "failed_on",
+        "failures",
+        "next_attempt",
+        "placements",
+        "recorded_attempts",
+        "settled_ms",
+        "version",
+    )
 
     def __init__(self) -> None:
         self.version = 0
         self.next_attempt = 1
         self.done = 0  # a bit for each task
-        self.listed: set[tuple[int, int]] = set()  # tasks and attempts in the record as it is stored
+        self.recorded_attempts: set[tuple[int, int]] = set()  # tasks and attempts in the record as it is stored
         self.placements: dict[int, Placement] = {}
-        self.handed: dict[int, Handed] = {}
+        self.dispatched: dict[int, DispatchTarget] = {}
         self.failures = 0
         self.failed_on: list[str] = []  # machines where tasks failed, the latest last
-        self.spent = 0  # ms that settled placements held their places
+        self.settled_ms = 0  # ms that settled placements held their places
 
-    def pending(self) -> Iterator[tuple[int, Handed]]:
+    def unstarted_dispatches(self) -> Iterator[tuple[int, DispatchTarget]]:
         """Tasks that were handed over and not started yet."""
-        for i, handed in self.handed.items():
+        for i, handed in self.dispatched.items():
             if i not in self.placements and not self.done >> i & 1:
                 yield i, handed
 
     def counts(self) -> "Counts":
-        return Counts(self.done.bit_count(), len(self.placements), sum(1 for _ in self.pending()))
+        return Counts(self.done.bit_count(), len(self.placements), sum(1 for _ in self.unstarted_dispatches()))
 
-    def meter(self) -> "Meter":
-        starts = [p.started for p in self.placements.values() if p.started is not None]
-        return Meter(self.spent, len(starts), sum(starts))
+    def machine_time(self) -> "MachineTime":
+        starts = [p.started_ms for p in self.placements.values() if p.started_ms is not None]
+        return MachineTime(self.settled_ms, len(starts), sum(starts))
 
     def record(self) -> dict:
         """This chunk as it is stored."""
         record = {
             "n": self.next_attempt,
             "d": self.done,
-            "h": [[i, *(h if h.machine else h[:1])] for i, h in self.handed.items()],
+            "h": [[i, *(h if h.machine else h[:1])] for i, h in self.dispatched.items()],
             "p": [p.row(i) for i, p in self.placements.items()],
         }
-        if self.spent:
-            record["u"] = self.spent
+        if self.settled_ms:
+            record["u"] = self.settled_ms
         return record | {"f": [self.failures, self.failed_on]} if self.failures else record
 
-    def failed(self, machines: list[str]) -> dict:
+    def failure_fields(self, machines: list[str]) -> dict:
         """What its record says once tasks have failed on these machines too."""
         known = [m for m in dict.fromkeys(self.failed_on) if m not in machines]
-        latest = (known + list(dict.fromkeys(machines)))[-MOST_FAILED_ON:]
+        latest = (known + list(dict.fromkeys(machines)))[-MAX_FAILED_MACHINES:]
         return {"f": [self.failures + len(machines), latest]}
 
 
@@ -194,19 +204,19 @@
 
     done: int = 0
     placed: int = 0
-    pending: int = 0
+    dispatched: int = 0
 
 
-class Meter(NamedTuple):
+class MachineTime(NamedTuple):
     """Machine time in ms: what settled placements held, how many are metered now, and the sum of their starts."""
 
-    spent: int = 0
-    running: int = 0
-    starts: int = 0
+    settled_ms: int = 0
+    metered_placements: int = 0
+    start_sum_ms: int = 0
 
 
 class Job:
-    """A live job.  Its counts are kept up to date by `take_chunk`, which makes every change of its chunks."""
+    """A live job.  Its counts are kept up to date by `update_chunk`, which makes every change of its chunks."""
 
     def __init__(self, spec: JobSpec, submitted: datetime, version: int, cancelled: bool) -> None:
         self.spec = spec
@@ -214,65 +224,67 @@
         self.version = version
         self.cancelled = cancelled
         self.chunks: dict[int, Chunk] = {}
-        self.full: set[int] = set()
-        self.seen: set[int] = set()  # chunks that had a record at some time
+        self.folded_chunks: set[int] = set()
+        self.recorded_chunks: set[int] = set()  # chunks that had a record at some time
         self.sum_version = 0
-        self.sum_spent = 0  # ms that the tasks of folded chunks held their places
+        self.folded_ms = 0  # ms that the tasks of folded chunks held their places
         self.counts = Counts()
-        self.meter = Meter()
+        self.machine_time = MachineTime()
         self.failures = 0
         self.failed_on: set[str] = set()  # machines where tasks of this job failed
-        self.noted_failures: set[str] = set()  # those of them in the book's index
+        self.indexed_failed_on: set[str] = set()  # those of them in the book's index
         self.changes = 0  # how often its chunks have changed
-        self.noted_held = 0  # tasks placed or handed over, as the book's index counts them
+        self.indexed_task_count = 0  # tasks placed or handed over, as the book's index counts them
         self._first_open = 0
         # The leader's own notes, rebuilt from snapshot and reports.
-        self.received = ZERO
-        self.why_waiting = ""
+        self.task_time_received = ZERO
+        self.pending_reason = ""
 
     @property
     def chunk_count(self) -> int:
-        return -(-self.spec.tasks // CHUNK)
+        return -(-self.spec.tasks // CHUNK_TASKS)
 
     def chunk_size(self, number: int) -> int:
-        return min(CHUNK, self.spec.tasks - number * CHUNK)
+        return min(CHUNK_TASKS, self.spec.tasks - number * CHUNK_TASKS)
 
     def placements(self) -> Iterator[Placement]:
         for chunk in self.chunks.values():
             yield from chunk.placements.values()
 
-    def take_chunk(self, number: int, change: Callable[[Chunk], None]) -> None:
+    def update_chunk(self, number: int, change: Callable[[Chunk], None]) -> None:
         """Change a chunk, and the counts with it."""
         self.changes += 1
         chunk = self.chunks.setdefault(number, Chunk())
-        before, metered = self._counted(number, chunk), chunk.meter()
+        before, metered = self._counted(number, chunk), chunk.machine_time()
         change(chunk)
-        if chunk.version == 0 and not chunk.handed:
+        if chunk.version == 0 and not chunk.dispatched:
             del self.chunks[number]
         self._count(before, self._counted(number, chunk))
-        after = chunk.meter()
+        after = chunk.machine_time()
         if after != metered:
-            self.meter = Meter(*(n - b + a for n, b, a in zip(self.meter, metered, after, strict=True)))
+            self.machine_time = MachineTime(
+                *(n - b + a for n, b, a in zip(self.machine_time, metered, after, strict=True))
+            )
         if self.failures or chunk.failures:
             self.failures = sum(c.failures for c in self.chunks.values())
             self.failed_on = {m for c in self.chunks.values() for m in c.failed_on}
 
-    def take_sum(self, full: set[int], spent: int, version: int) -> None:
+    def update_folded_chunks(self, full: set[int], spent: int, version: int) -> None:
         """Learn which chunks were folded away because all their tasks are done, and what those held."""
-        for number in sorted(full ^ self.full):
+        for number in sorted(full ^ self.folded_chunks):
             if number in full and number in self.chunks and not self.chunks[number].version:
-                self.take_chunk(number, lambda chunk: chunk.handed.clear())
+                self.update_chunk(number, lambda chunk: chunk.dispatched.clear())
             chunk = self.chunks.get(number) or Chunk()
             before = self._counted(number, chunk)
-            self.full ^= {number}
+            self.folded_chunks ^= {number}
             self._count(before, self._counted(number, chunk))
-        self.meter = self.meter._replace(spent=self.meter.spent - self.sum_spent + spent)
-        self.sum_spent = spent
+        self.machine_time = self.machine_time._replace(settled_ms=self.machine_time.settled_ms - self.folded_ms + spent)
+        self.folded_ms = spent
         self.sum_version = version
 
     def _counted(self, number: int, chunk: Chunk) -> Counts:
         counts = chunk.counts()
-        return counts._replace(done=self.chunk_size(number)) if number in self.full else counts
+        return counts._replace(done=self.chunk_size(number)) if number in self.folded_chunks else counts
 
     def _count(self, before: Counts, after: Counts) -> None:
         self.counts = Counts(*(n - b + a for n, b, a in zip(self.counts, before, after, strict=True)))
@@ -281,18 +293,18 @@
         """Time since the job's submission, in whole ms: what starts are counted in."""
         return (now - self.submitted) // MILLISECOND
 
-    def held_ms(self, now: datetime) -> int:
+    def machine_time_ms(self, now: datetime) -> int:
         """How long its tasks have held their places, together, in ms."""
-        spent, running, starts = self.meter
+        spent, running, starts = self.machine_time
         return spent + running * self.age_ms(now) - starts if running else spent
 
-    def pending(self) -> Iterator[tuple[TaskId, Handed]]:
+    def unstarted_dispatches(self) -> Iterator[tuple[TaskId, DispatchTarget]]:
         """Tasks that were handed to a block and not started yet."""
-        if not self.counts.pending:
+        if not self.counts.dispatched:
             return
         for number, chunk in self.chunks.items():
-            for i, handed in chunk.pending():
-                yield TaskId(self.spec.ref, number * CHUNK + i), handed
+            for i, handed in chunk.unstarted_dispatches():
+                yield TaskId(self.spec.ref, number * CHUNK_TASKS + i), handed
 
     def broken_gang(self) -> bool:
         """Whether some task of a gang is neither placed nor about to be."""
@@ -308,7 +320,7 @@
     def all_done(self) -> bool:
         return self.spec.shape is not Shape.SERVICE and self.done_count() >= self.spec.tasks
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing is left to do but to write down the end."""
         if self.cancelled:
             return self.placed_count() == 0
@@ -316,25 +328,25 @@
         gang_done = self.spec.shape is Shape.GANG and self.done_count() > 0
         return self.all_done() or (gang_done and self.placed_count() == 0)
 
-    def waiting(self, most: int) -> list[TaskId]:
+    def pending_tasks(self, most: int) -> list[TaskId]:
         """The first tasks that are neither done, placed nor handed over, at most so many."""
         found: list[TaskId] = []
-        while self._first_open in self.full:
+        while self._first_open in self.folded_chunks:
             self._first_open += 1
         for number in range(self._first_open, self.chunk_count):
             if len(found) >= most:
                 break
-            if number in self.full:
+            if number in self.folded_chunks:
                 continue
             chunk = self.chunks.get(number)
             for i in range(self.chunk_size(number)):
-                if chunk is None or not (chunk.done >> i & 1 or i in chunk.placements or i in chunk.handed):
-                    found.append(TaskId(self.spec.ref, number * CHUNK + i))
+                if chunk is None or not (chunk.done >> i & 1 or i in chunk.placements or i in chunk.dispatched):
+                    found.append(TaskId(self.spec.ref, number * CHUNK_TASKS + i))
                     if len(found) >= most:
                         break
         return found
 
-    def waiting_count(self) -> int:
+    def pending_count(self) -> int:
         """How many tasks are neither done, placed nor handed over."""
         return self.spec.tasks - sum(self.counts)
 
@@ -361,7 +373,7 @@
     return found
 
 
-class Over(NamedTuple):
+class SettledAttempt(NamedTuple):
     """An attempt that is over: its task's place in its chunk, its number, and whether the task is done."""
 
     index: int
@@ -369,7 +381,7 @@
     done: bool
 
 
-def over_record(rows: dict[tuple[str, int], set[Over]]) -> dict:
+def settled_page(rows: dict[tuple[str, int], set[SettledAttempt]]) -> dict:
     """A block's page of attempts that are over, as it is stored."""
     record: dict[str, dict[str, list]] = {}
     for (ref, number), overs in rows.items():
@@ -377,7 +389,7 @@
     return record
 
 
-class Need(NamedTuple):
+class TaskDemand(NamedTuple):
     """What one task of a team takes of its limit."""
 
     team: str
@@ -410,40 +422,40 @@
 NO_LOAD = Load()
 
 
-class Book:
+class JobIndex:
     """All live jobs, and indexes of them, so that a round costs what changed.
 
     `_reindex` keeps the sets of jobs, `_put` and `_drop` what stands on
     machines, and `changes` is told of every machine whose load changed.
     """
 
-    def __init__(self, changes: Changes) -> None:
+    def __init__(self, changes: ChangeTracker) -> None:
         self._changes = changes
         self.jobs: dict[str, Job] = {}
         self.loads: dict[str, Load] = {}
-        self.waiting: set[str] = set()  # jobs with tasks that wait to be handed over
-        self.handed: set[str] = set()  # jobs with tasks that were handed to a block and not started
+        self.pending_jobs: set[str] = set()  # jobs with tasks that wait to be handed over
+        self.dispatched_jobs: set[str] = set()  # jobs with tasks that were handed to a block and not started
         self.gangs: set[str] = set()
         self.accelerated: set[str] = set()  # jobs that need accelerators and are not cancelled
         self.cancelled: set[str] = set()
         self.failed_on: dict[str, set[str]] = {}  # the jobs whose tasks failed on a machine
-        self.over: set[str] = set()  # jobs whose end is to be written down
+        self.finished_jobs: set[str] = set()  # jobs whose end is to be written down
         self.metered: set[str] = set()  # jobs that have held machine time, as far as it is metered
         self.settled: dict[TaskId, Placement] = {}  # placements whose end is to be written down
-        self.held: Counter[Need] = Counter()  # tasks placed or handed over, by team and size
+        self.task_counts: Counter[TaskDemand] = Counter()  # tasks placed or handed over, by team and size
         self._of_team: dict[str, SortedKeyList] = {}  # jobs, the earliest submitted first
         self._orphans: dict[str, dict[str, tuple[Any, int]]] = {}
-        self._hand_of: dict[str, dict[str, dict[int, Hand]]] = {}  # by page, job and chunk
-        self._over_of: dict[str, dict[tuple[str, int], set[Over]]] = {}  # by page, then by chunk
+        self._dispatch_pages_by_key: dict[str, dict[str, dict[int, ChunkDispatch]]] = {}  # by page, job and chunk
+        self._settled_pages_by_key: dict[str, dict[tuple[str, int], set[SettledAttempt]]] = {}  # by page, then by chunk
 
     def changed(self, key: str, value: Any, version: int) -> None:
         """Take in one change of the mirror."""
         if key.startswith(JOB_PREFIX):
             self._job_changed(key.removeprefix(JOB_PREFIX), value, version)
-        elif key.startswith(HAND_PREFIX):
-            self._hand_changed(key, value or {})
-        elif key.startswith(OVER_PREFIX):
-            self._over_changed(key, value or {})
+        elif key.startswith(DISPATCH_PREFIX):
+            self._dispatch_page_changed(key, value or {})
+        elif key.startswith(SETTLED_PREFIX):
+            self._settled_page_changed(key, value or {})
         elif key.startswith((RUN_PREFIX, SUM_PREFIX)):
             ref = key.split("/")[2]
             job = self.jobs.get(ref)
@@ -464,12 +476,13 @@
                     self._drop(placement)
                 del self.jobs[ref]
                 self._of_team[job.spec.team].remove(job)
-                self._note_held(job, 0)
+                self._index_task_count(job, 0)
                 for index in (
-                    self.waiting, self.handed, self.gangs, self.accelerated, self.cancelled, self.over, self.metered
+                    self.pending_jobs, self.dispatched_jobs, self.gangs,
+                    self.accelerated, self.cancelled, self.finished_jobs, self.metered
                 ):  # fmt: skip
                     index.discard(ref)
-                self._note_failures(ref, job.noted_failures, set())
+                self._note_failures(ref, job.indexed_failed_on, set())
             return
         cancelled = bool(value.get("cancelled"))
         if job is None:
@@ -478,35 +491,35 @@
             self._of_team.setdefault(job.spec.team, SortedKeyList(key=_by_submission)).add(job)
             for key, (part, part_version) in self._orphans.pop(ref, {}).items():
                 self._part_changed(job, key, part, part_version)
-            for page in self._hand_of.values():
-                self._lay_handed(job, page.get(ref, {}))
+            for page in self._dispatch_pages_by_key.values():
+                self._apply_dispatches(job, page.get(ref, {}))
         job.version, job.cancelled = version, cancelled
         self._reindex(job)
 
     def _reindex(self, job: Job) -> None:
         """Bring the indexes up to date after any change of a job."""
-        self._note_failures(job.spec.ref, job.noted_failures, job.failed_on)
-        job.noted_failures = job.failed_on
-        self._note_held(job, job.counts.placed + job.counts.pending)
+        self._note_failures(job.spec.ref, job.indexed_failed_on, job.failed_on)
+        job.indexed_failed_on = job.failed_on
+        self._index_task_count(job, job.counts.placed + job.counts.dispatched)
         for index, belongs in (
-            (self.waiting, not job.cancelled and job.waiting_count() > 0),
-            (self.handed, not job.cancelled and job.counts.pending > 0),
+            (self.pending_jobs, not job.cancelled and job.pending_count() > 0),
+            (self.dispatched_jobs, not job.cancelled and job.counts.dispatched > 0),
             (self.gangs, job.spec.shape is Shape.GANG),
             (self.accelerated, job.spec.gpus > 0 and not job.cancelled),
             (self.cancelled, job.cancelled),
-            (self.over, job.over()),
-            (self.metered, any(job.meter)),
+            (self.finished_jobs, job.is_finished()),
+            (self.metered, any(job.machine_time)),
         ):
             (index.add if belongs else index.discard)(job.spec.ref)
 
-    def _note_held(self, job: Job, held: int) -> None:
+    def _index_task_count(self, job: Job, held: int) -> None:
         # Whole tasks are counted, since sums of amounts drift in the last digits.
-        if held != job.noted_held:
-            need = Need(job.spec.team, job.spec.cpus, job.spec.gpus)
-            self.held[need] += held - job.noted_held
-            if not self.held[need]:
-                del self.held[need]
-            job.noted_held = held
+        if held != job.indexed_task_count:
+            need = TaskDemand(job.spec.team, job.spec.cpus, job.spec.gpus)
+            self.task_counts[need] += held - job.indexed_task_count
+            if not self.task_counts[need]:
+                del self.task_counts[need]
+            job.indexed_task_count = held
 
     def of_team(self, team: str) -> Iterable[Job]:
         """A team's live jobs, the earliest submitted first."""
@@ -520,78 +533,78 @@
             if not self.failed_on[machine]:
                 del self.failed_on[machine]
 
-    def _hand_changed(self, key: str, value: dict) -> None:
+    def _dispatch_page_changed(self, key: str, value: dict) -> None:
         """A page of what was handed over has changed: lay what is new over the chunks."""
-        old = self._hand_of.get(key, {})
-        page = self._hand_of[key] = {
-            ref: {int(number): Hand.of(row) for number, row in parts.items()} for ref, parts in value.items()
+        old = self._dispatch_pages_by_key.get(key, {})
+        page = self._dispatch_pages_by_key[key] = {
+            ref: {int(number): ChunkDispatch.of(row) for number, row in parts.items()} for ref, parts in value.items()
         }
         for ref, hands in page.items():
             job = self.jobs.get(ref)
             if job is not None and hands != old.get(ref):
-                self._lay_handed(job, hands)
+                self._apply_dispatches(job, hands)
                 self._reindex(job)
 
-    def _lay_handed(self, job: Job, hands: dict[int, Hand]) -> None:
+    def _apply_dispatches(self, job: Job, hands: dict[int, ChunkDispatch]) -> None:
         for number, hand in hands.items():
-            job.take_chunk(number, lambda chunk, n=number, hand=hand: self._lay_hand(job, n, chunk, hand))
+            job.update_chunk(number, lambda chunk, n=number, hand=hand: self._apply_dispatch(job, n, chunk, hand))
 
-    def _lay_hand(self, job: Job, number: int, chunk: Chunk, hand: Hand) -> None:
+    def _apply_dispatch(self, job: Job, number: int, chunk: Chunk, dispatch: ChunkDispatch) -> None:
         # A chunk that was folded away has no record again, as one that was never written.
-        if self.holds(job, number, hand):
-            for i, handed in hand.tasks.items():
+        if self.dispatch_is_current(job, number, dispatch):
+            for i, handed in dispatch.tasks.items():
                 if i not in chunk.placements and not chunk.done >> i & 1:
-                    chunk.handed.setdefault(i, handed)
+                    chunk.dispatched.setdefault(i, handed)
 
-    def holds(self, job: Job, number: int, hand: Hand) -> bool:
+    def dispatch_is_current(self, job: Job, number: int, dispatch: ChunkDispatch) -> bool:
         """Whether the chunk is as it was when this was handed over."""
         chunk = job.chunks.get(number)
         version = chunk.version if chunk is not None else 0
-        return hand.version == version and (version > 0 or number not in job.full | job.seen)
+        return dispatch.version == version and (version > 0 or number not in job.folded_chunks | job.recorded_chunks)
 
-    def hand_pages(self, prefix: str) -> dict[str, dict[str, dict[int, Hand]]]:
+    def dispatch_pages(self, prefix: str) -> dict[str, dict[str, dict[int, ChunkDispatch]]]:
         """The pages below a prefix, by their keys, with the rows that still hold."""
         pages = {}
-        for key, page in self._hand_of.items():
+        for key, page in self._dispatch_pages_by_key.items():
             if key.startswith(prefix):
                 kept = {
-                    ref: {n: hand for n, hand in hands.items() if self.holds(self.jobs[ref], n, hand)}
+                    ref: {n: hand for n, hand in hands.items() if self.dispatch_is_current(self.jobs[ref], n, hand)}
                     for ref, hands in page.items()
                     if ref in self.jobs
                 }
                 pages[key] = {ref: hands for ref, hands in kept.items() if hands}
         return pages
 
-    def _over_changed(self, key: str, value: dict) -> None:
+    def _settled_page_changed(self, key: str, value: dict) -> None:
         """A block's page of attempts that are over has changed: lay what is new over the chunks."""
-        old = self._over_of.get(key, {})
-        rows = self._over_of[key] = {
-            (ref, int(number)): {Over(i, attempt, bool(done)) for i, attempt, done in overs}
+        old = self._settled_pages_by_key.get(key, {})
+        rows = self._settled_pages_by_key[key] = {
+            (ref, int(number)): {SettledAttempt(i, attempt, bool(done)) for i, attempt, done in overs}
             for ref, parts in value.items()
             for number, overs in parts.items()
         }
         for (ref, number), overs in rows.items():
             job, new = self.jobs.get(ref), overs - old.get((ref, number), set())
             if job is not None and number in job.chunks and new:
-                job.take_chunk(number, lambda chunk, new=new: self._lay_over(chunk, new))
+                job.update_chunk(number, lambda chunk, new=new: self._apply_settled(chunk, new))
                 self._reindex(job)
 
-    def _lay_over(self, chunk: Chunk, overs: Iterable[Over]) -> None:
+    def _apply_settled(self, chunk: Chunk, overs: Iterable[SettledAttempt]) -> None:
         for i, attempt, done in overs:
             placement = chunk.placements.get(i)
             if placement is not None and placement.attempt == attempt:
                 del chunk.placements[i]
-                chunk.handed.pop(i, None)
+                chunk.dispatched.pop(i, None)
                 chunk.done |= int(done) << i
                 self._drop(placement)
 
-    def over_rows(self, zone: str) -> dict[tuple[str, int], set[Over]]:
+    def settled_rows(self, zone: str) -> dict[tuple[str, int], set[SettledAttempt]]:
         """What a block's page has to say still: rows whose attempts some stored record lists."""
-        kept: dict[tuple[str, int], set[Over]] = {}
-        for (ref, number), overs in self._over_of.get(OVER_PREFIX + zone, {}).items():
+        kept: dict[tuple[str, int], set[SettledAttempt]] = {}
+        for (ref, number), overs in self._settled_pages_by_key.get(SETTLED_PREFIX + zone, {}).items():
             job = self.jobs.get(ref)
             chunk = job.chunks.get(number) if job is not None else None
-            if chunk is not None and (left := {o for o in overs if o[:2] in chunk.listed}):
+            if chunk is not None and (left := {o for o in overs if o[:2] in chunk.recorded_attempts}):
                 kept[ref, number] = left
         return kept
 
@@ -599,28 +612,30 @@
         if key.startswith(SUM_PREFIX):
             value = value or {"full": []}
             full = {n for a, b in value["full"] for n in range(a, b + 1)}
-            job.take_sum(full, value.get("u", 0), version)
+            job.update_folded_chunks(full, value.get("u", 0), version)
             return
         number = int(key.rpartition("/")[2])
-        job.take_chunk(number, lambda chunk: self._chunk_changed(job, number, chunk, value, version))
+        job.update_chunk(number, lambda chunk: self._chunk_changed(job, number, chunk, value, version))
 
     def _chunk_changed(self, job: Job, number: int, chunk: Chunk, value: Any, version: int) -> None:
         old = chunk.placements
         chunk.version = version if value is not None else 0
         if value is not None:
-            job.seen.add(number)
+            job.recorded_chunks.add(number)
         value = value or {"n": 1, "d": 0, "h": [], "p": []}
         chunk.next_attempt, chunk.done = value["n"], value["d"]
         chunk.failures, chunk.failed_on = value.get("f", (0, []))
-        chunk.handed = {row[0]: Handed(*row[1:]) for row in value["h"]}
+        chunk.dispatched = {row[0]: DispatchTarget(*row[1:]) for row in value["h"]}
         chunk.placements = {}
-        chunk.spent = value.get("u", 0)
-        chunk.listed = {(row[0], row[1]) for row in value["p"]}
+        chunk.settled_ms = value.get("u", 0)
+        chunk.recorded_attempts = {(row[0], row[1]) for row in value["p"]}
         for i, attempt, machine, session, zone, *started in value["p"]:
             known = old.get(i)
             if known is None or known.attempt != attempt:
-                known = Placement(TaskId(job.spec.ref, number * CHUNK + i), job.spec, attempt, machine, session, zone)
-                known.started = started[0] if started else None
+                known = Placement(
+                    TaskId(job.spec.ref, number * CHUNK_TASKS + i), job.spec, attempt, machine, session, zone
+                )
+                known.started_ms = started[0] if started else None
                 if i in old:
                     self._drop(old[i])
                 self._put(known)
@@ -628,18 +643,18 @@
         for i, placement in old.items():
             if i not in chunk.placements:
                 self._drop(placement)
-        for rows in self._over_of.values():
-            self._lay_over(chunk, rows.get((job.spec.ref, number), ()))
-        for page in self._hand_of.values():
+        for rows in self._settled_pages_by_key.values():
+            self._apply_settled(chunk, rows.get((job.spec.ref, number), ()))
+        for page in self._dispatch_pages_by_key.values():
             hand = page.get(job.spec.ref, {}).get(number)
             if hand is not None:
-                self._lay_hand(job, number, chunk, hand)
+                self._apply_dispatch(job, number, chunk, hand)
 
     def _put(self, placement: Placement) -> None:
         load = self.loads.setdefault(placement.machine, Load())
         load.placements[placement.task] = placement
         load.add(placement)
-        self._changes.note(placement.machine)
+        self._changes.mark_changed(placement.machine)
 
     def _drop(self, placement: Placement) -> None:
         if self.settled.get(placement.task) is placement:
@@ -647,7 +662,7 @@
         load = self.loads[placement.machine]
         del load.placements[placement.task]
         load.add(placement, -1)
-        self._changes.note(placement.machine)
+        self._changes.mark_changed(placement.machine)
         if not load.placements:
             # Sums of amounts drift in the last digits: an empty machine starts anew.
             del self.loads[placement.machine]
@@ -656,13 +671,13 @@
         """What stands on a machine, to be read only."""
         return self.loads.get(machine, NO_LOAD)
 
-    def on(self, machine: str) -> dict[TaskId, Placement]:
+    def placements_on(self, machine: str) -> dict[TaskId, Placement]:
         """The placements on a machine, to be read only."""
         return self.load(machine).placements
 
     def placement(self, task: TaskId) -> Placement | None:
         chunk = self._chunk_of(task)
-        return chunk.placements.get(task.index % CHUNK) if chunk else None
+        return chunk.placements.get(task.index % CHUNK_TASKS) if chunk else None
 
     def record_version(self, task: TaskId) -> int:
         """The version of the record that holds a task; 0 if there is none."""
@@ -671,16 +686,16 @@
 
     def _chunk_of(self, task: TaskId) -> Chunk | None:
         job = self.jobs.get(task.ref)
-        return job.chunks.get(task.index // CHUNK) if job else None
+        return job.chunks.get(task.index // CHUNK_TASKS) if job else None
 
     def placements(self) -> Iterator[Placement]:
         for load in self.loads.values():
             yield from load.placements.values()
 
-    def forget_notes(self, zone: str) -> None:
+    def reset_observations(self, zone: str) -> None:
         """A new holder starts from the records alone: what this node noted of the block before is stale."""
         for placement in self.placements():
             if placement.zone == zone:
                 placement.phase, placement.running_since = Phase.PLACED, None
-                placement.cause, placement.seen = None, False
+                placement.cause, placement.was_reported = None, False
                 self.settled.pop(placement.task, None)
--- a/kelpjunction/jobs/views.py
+++ b/kelpjunction/jobs/views.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable, Container, Iterable, Iterator
 from contextlib import contextmanager
 
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.fleet.cloud import Fleet
 from kelpjunction.fleet.machines import Machine
-from kelpjunction.jobs.book import Book, Job, Load, Placement
-from kelpjunction.placement import SLACK, Choice, FreeRoom, Victim, View, allowed, type_fits
-from kelpjunction.queue import Rights
+from kelpjunction.jobs.job_index import Job, JobIndex, Load, Placement
+from kelpjunction.placement import SLACK, FreeCapacityIndex, MachineSelection, MachineView, Victim, allowed, type_fits
+from kelpjunction.queue import PreemptionPolicy
 from kelpjunction.wire.messages import JobSpec, MachineType, Shape
 
-KEPT_SHARE = 0.9
+GPU_RESERVED_SHARE = 0.9
 
 
 def cached(images: Iterable[tuple[str, float]], cache_gb: float) -> set[str]:
@@ -26,7 +26,7 @@
     return kept
 
 
-class Views:
+class ViewCache:
     """Views that are kept from one round to the next, with the index of the free room on them.
 
     Only those are made anew whose machine changed or that a round wrote to:
@@ -34,16 +34,20 @@
     """
 
     def __init__(
-        self, changes: Changes, fleet: Fleet, names: Callable[[], Iterable[str]], make: Callable[[str], View | None]
+        self,
+        changes: ChangeTracker,
+        fleet: Fleet,
+        names: Callable[[], Iterable[str]],
+        make: Callable[[str], MachineView | None],
     ) -> None:
-        self._stale = changes.follow()
+        self._stale = changes.subscribe()
         self._fleet = fleet
         self._names = names
         self._make = make
-        self._room = FreeRoom()
+        self._room = FreeCapacityIndex()
         self._basis: tuple = ()
 
-    def spoil(self, name: str) -> None:
+    def invalidate(self, name: str) -> None:
         """Have a machine's view made anew: something changed that only the owner of these views knows of."""
         self._stale.add(name)
 
@@ -52,9 +56,9 @@
         view = self._room.view(name)
         return None if view is None else view.zone
 
-    def fresh(self) -> Choice:
+    def fresh(self) -> MachineSelection:
         """All machines that can take work, none with anything left of an earlier round."""
-        basis = (self._fleet.catalog, [spec.needs for spec in self._fleet.scarce])
+        basis = (self._fleet.catalog, [spec.needs for spec in self._fleet.recent_accelerator_specs])
         if basis != self._basis:
             # What is kept free for others on a machine hangs on these.
             self._basis = basis
@@ -67,23 +71,26 @@
             if view is None:
                 self._room.drop(name)
             else:
-                view.scratched = self._written_to
+                view.on_write = self._written_to
                 self._room.put(view)
-        return self._room.everything()
+        return self._room.select_all()
 
     def _written_to(self, name: str) -> None:
         self._stale.add(name)
-        self._room.mark(name)
+        self._room.mark_dirty(name)
 
 
-def stoppable(
-    book: Book, rights: Rights, for_: Iterable[JobSpec], victim: Callable[[Placement], Victim | None]
+def preemption_candidates(
+    job_index: JobIndex,
+    preemption_policy: PreemptionPolicy,
+    for_: Iterable[JobSpec],
+    victim: Callable[[Placement], Victim | None],
 ) -> dict[str, list[Victim]]:
     """What could be stopped for any of these jobs, by machine; `victim` may leave placements out."""
-    kinds = {(s.priority, s.shape, rights.leftover(s)): s for s in for_}.values()
+    kinds = {(s.priority, s.shape, preemption_policy.is_opportunistic(s)): s for s in for_}.values()
     victims: dict[str, list[Victim]] = {}
-    for job in book.jobs.values():
-        if job.counts.placed and any(rights.may_stop(spec, job.spec) for spec in kinds):
+    for job in job_index.jobs.values():
+        if job.counts.placed and any(preemption_policy.may_preempt(spec, job.spec) for spec in kinds):
             for placement in job.placements():
                 found = victim(placement)
                 if found is not None:
@@ -91,9 +98,9 @@
     return victims
 
 
-def view_of(machine: Machine, type_: MachineType, images: Container[str], load: Load, fleet: Fleet) -> View:
+def view_of(machine: Machine, type_: MachineType, images: Container[str], load: Load, fleet: Fleet) -> MachineView:
     """One machine with what is free on it now."""
-    view = View(
+    view = MachineView(
         machine.name,
         type_,
         machine.zone,
@@ -102,20 +109,20 @@
         type_.gpus - load.gpus,
         type_.memory - load.memory,
         images=images,
-        arriving={image for image, n in load.images.items() if n} if load.placements else set(),
+        fetching_images={image for image, n in load.images.items() if n} if load.placements else set(),
         tasks=len(load.placements),
-        shunned=machine.suspected,
+        suspected=machine.suspected,
     )
-    if type_.gpus and not fleet.scarce and fleet.plain_types:
+    if type_.gpus and not fleet.recent_accelerator_specs and fleet.plain_types:
         # What accelerator work needs is not known yet: leave it nearly all.
-        view.keep(type_.cpus * KEPT_SHARE, type_.gpus, type_.memory * KEPT_SHARE)
-    for spec in fleet.scarce:
+        view.reserve_for_gpu_work(type_.cpus * GPU_RESERVED_SHARE, type_.gpus, type_.memory * GPU_RESERVED_SHARE)
+    for spec in fleet.recent_accelerator_specs:
         if type_fits(spec, type_) and allowed(spec, type_, view.zone, view.spot):
-            view.keep_for(spec)
+            view.reserve_for_job(spec)
     return view
 
 
-def fitting(spec: JobSpec, views: Iterable[View]) -> list[View]:
+def fitting(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView]:
     """The machines that could run a task of the job if nothing stood on them."""
     cpus, gpus = spec.cpus - SLACK, spec.gpus - SLACK
     # Of a large fleet few types are right for a gang: these two rule out most.
@@ -129,14 +136,14 @@
     ]
 
 
-def able_for(job: Job, views: Choice) -> Choice:
+def able_for(job: Job, views: MachineSelection) -> MachineSelection:
     """The machines where no task of the job has failed, or all of them if it failed on each."""
     return views.avoiding(job.failed_on) if job.failed_on else views
 
 
-def emptied(view: View, placements: Iterable[Placement]) -> View:
+def with_services_only(view: MachineView, placements: Iterable[Placement]) -> MachineView:
     """The machine as it will be when all but the services on it have ended."""
-    empty = View(
+    empty = MachineView(
         view.name,
         view.type,
         view.zone,
@@ -145,42 +152,46 @@
         view.type.gpus,
         view.type.memory,
         images=view.images,
-        shunned=view.shunned,
-        held_for=view.held_for,
-        firmly=view.firmly,
+        suspected=view.suspected,
+        held_for_gang=view.held_for_gang,
+        hold_excludes_arrays=view.hold_excludes_arrays,
     )
     for placement in placements:
         if placement.spec.shape is Shape.SERVICE:
-            empty.take(placement.spec)
+            empty.allocate(placement.spec)
     return empty
 
 
 @contextmanager
-def unreserved(views: Choice, which: Callable[[View], bool] = lambda view: True, kept: bool = True) -> Iterator[None]:
-    """What is held on `which` of these machines does not count meanwhile, nor what is `kept`; what is taken stays."""
-    reserved = [(v, v.held_for, v.kept_cpus, v.kept_memory) for v in views.reserved()]
+def ignoring_reservations(
+    views: MachineSelection, which: Callable[[MachineView], bool] = lambda view: True, kept: bool = True
+) -> Iterator[None]:
+    """What is held on `which` of these machines does not count meanwhile, nor what is `gpu_reserved`.
+
+    What is taken stays."""
+    reserved = [(v, v.held_for_gang, v.gpu_reserved_cpus, v.gpu_reserved_memory) for v in views.reserved()]
     for view, held_for, kept_cpus, kept_memory in reserved:
         now_held = None if held_for and which(view) else held_for
-        view.reserve(now_held, *((0.0, 0.0) if kept else (kept_cpus, kept_memory)))
+        view.set_reservation(now_held, *((0.0, 0.0) if kept else (kept_cpus, kept_memory)))
     try:
         yield
     finally:
         for view, *what in reserved:
-            view.reserve(*what)
+            view.set_reservation(*what)
 
 
-class Rooms:
+class RoomCheck:
     """Whether there is room for a job at all, whatever is held or kept there; each kind of need is reckoned once.
 
-    Of a job's zone rules only the one zone of a gang counts: `unreserved` and
+    Of a job's zone rules only the one zone of a gang counts: `ignoring_reservations` and
     a placement decide what this only looks for.
     """
 
-    def __init__(self, views: Choice) -> None:
+    def __init__(self, views: MachineSelection) -> None:
         self._views = views
         self._known: dict[tuple, int] = {}
 
-    def has(self, spec: JobSpec, tasks: int) -> bool:
+    def has_room(self, spec: JobSpec, tasks: int) -> bool:
         """Whether so many tasks at once have room."""
         needs = (*spec.needs, spec.one_zone)
         if needs not in self._known:
@@ -189,13 +200,13 @@
         return self._known[needs] >= tasks
 
 
-def spread_of(job: Job) -> tuple[Counter, Counter]:
+def count_by_zone_and_machine(job: Job) -> tuple[Counter, Counter]:
     """How many of the job's tasks each zone and each machine has, handed ones included."""
     zones: Counter = Counter()
     mates: Counter = Counter()
     for placement in job.placements():
         zones[placement.zone] += 1
         mates[placement.machine] += 1
-    for _, handed in job.pending():
+    for _, handed in job.unstarted_dispatches():
         zones[handed.zone] += 1
     return zones, mates
