--- a/kelpjunction/lab/exchanges.py
+++ b/kelpjunction/lab/exchanges.py
@@ -13,7 +13,7 @@
 from greenlet import getcurrent, greenlet
 
 from kelpjunction.clock import seconds
-from kelpjunction.transport import NoAnswer, Reply
+from kelpjunction.transport import NoResponse, Reply
 
 DELAYS = (0.0, 0.0, 0.1, 0.2, 0.5)  # seconds until an exchange begins, of its request's way, and of its reply's
 
@@ -56,17 +56,17 @@
         def arrive() -> None:
             """At the worker, also if the sender was killed meanwhile."""
             try:
-                reply: Reply | NoAnswer = handle()
-            except NoAnswer as error:
+                reply: Reply | NoResponse = handle()
+            except NoResponse as error:
                 reply = error
             self._later(lambda: self._resume(exchange, lambda: exchange.switch(reply)))
 
         self._later(arrive)
         reply = exchange.parent.switch()
-        if isinstance(reply, NoAnswer):
+        if isinstance(reply, NoResponse):
             raise reply
         if self._world.now() - sent_at > timeout:
-            raise NoAnswer("the reply came too late")
+            raise NoResponse("the reply came too late")
         return reply
 
     def _later(self, act: Callable[[], None]) -> None:
--- a/kelpjunction/lab/farm.py
+++ b/kelpjunction/lab/farm.py
@@ -15,12 +15,12 @@
 import orjson
 
 from kelpjunction.clock import seconds
-from kelpjunction.jobs.book import END_PREFIX, JOB_PREFIX
+from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX
 from kelpjunction.lab.account import Account
 from kelpjunction.lab.world import World
 from kelpjunction.ledger.accounts import Amounts, total
 from kelpjunction.ledger.reader import read
-from kelpjunction.settings import Operators, Team, load_operators
+from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
 from kelpjunction.tickets.classes import Runs, TicketClass, TicketSettings
 from kelpjunction.tickets.gateway import Gateway
 from kelpjunction.tickets.plan import Plan
@@ -95,7 +95,7 @@
         gateway.follow(gateway.jobs)
         gateway.follow(gateway.tickets)
         if self._beats % 5 == 0:
-            gateway.leadership.step()
+            gateway.leadership.run_once()
         if self._beats % 100 == 0:
             gateway.sweep()
 
@@ -233,8 +233,8 @@
     """Plays so many tickets beside as many native jobs, through faults, and judges."""
 
     def __init__(self, seed: int, tickets: int, length: float, machines: int = 12) -> None:
-        usual = load_operators(None)
-        operators: Operators = replace(usual, ledger=replace(usual.ledger, enabled=True))
+        usual = load_operator_settings(None)
+        operators: OperatorSettings = replace(usual, ledger=replace(usual.ledger, enabled=True))
         self.world = FarmWorld(
             seed=seed, machines=machines, capacity=machines, teams=TEAMS, operators=operators,
         )  # fmt: skip
--- a/kelpjunction/lab/live.py
+++ b/kelpjunction/lab/live.py
@@ -27,7 +27,7 @@
 from kelpjunction.lab.site import CLOUD_LIMITS, STORE_LIMITS, TEAMS, Site
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.tickets.users import CANCEL_END, TICKETS_PATH
-from kelpjunction.transport import HttpTransport, NoAnswer, Reply
+from kelpjunction.transport import HttpTransport, NoResponse, Reply
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
 STATE_PORT, CLOUD_PORT, CONTROL_PORT, GATEWAY_PORT = 379, 443, 70, 90  # above the lab's first port, as the nodes' are
@@ -108,7 +108,7 @@
                 node,
                 self.zones[number % len(self.zones)],
                 self._node_address(number),
-                self._node_address(number, internal=True),
+                self._node_address(number, internal_address=True),
             )
             for number, node in enumerate(self.node_names)
         ]
@@ -187,9 +187,9 @@
         for number in numbers:
             try:
                 return self._transport.request(self._node_address(number), method, path, body or None, USER_TIMEOUT)
-            except NoAnswer:
+            except NoResponse:
                 continue
-        raise NoAnswer("every node refuses the connection")
+        raise NoResponse("every node refuses the connection")
 
     def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
         method, path, body = {
@@ -199,13 +199,13 @@
         }[what]
         try:
             return self._transport.request(f"{HOST}:{self._port + GATEWAY_PORT}", method, path, body, USER_TIMEOUT)
-        except NoAnswer:
+        except NoResponse:
             return None, {}
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
         if worker.cut:
             gevent.sleep(WORKER_TIMEOUT.total_seconds())
-            raise NoAnswer("cut")
+            raise NoResponse("cut")
         address = self._node_address(number)
         return self._transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), WORKER_TIMEOUT)
 
--- a/kelpjunction/lab/scale/hollow.py
+++ b/kelpjunction/lab/scale/hollow.py
@@ -24,7 +24,7 @@
 from kelpjunction.lab.serving import WORKER_TIMEOUT, machine_handle, serve
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.settings import WorkerTimes
-from kelpjunction.transport import HttpTransport, NoAnswer
+from kelpjunction.transport import HttpTransport, NoResponse
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
 TELL_EVERY = timedelta(milliseconds=50)
@@ -138,7 +138,7 @@
         try:
             address = self.nodes[worker.node]
             reply = transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), WORKER_TIMEOUT)
-        except NoAnswer:
+        except NoResponse:
             self._failed_check_ins += 1
             if worker.life == life:
                 worker.unanswered()
--- a/kelpjunction/lab/scale/state.py
+++ b/kelpjunction/lab/scale/state.py
@@ -10,7 +10,7 @@
 from kelpjunction.lab.scale.children import Orders, tell
 from kelpjunction.lab.serving import ServedStore, serve
 from kelpjunction.lab.store import StoreStandIn
-from kelpjunction.leadership import LEAD_KEY
+from kelpjunction.leadership import LEADER_KEY
 from kelpjunction.settings import StoreLimits
 from kelpjunction.transport import Reply
 
@@ -58,7 +58,7 @@
         """Write what was asked of the service and who leads."""
         while True:
             gevent.sleep(TELL_EVERY_S)
-            lead = self._store.data.get(LEAD_KEY)
+            lead = self._store.data.get(LEADER_KEY)
             figures = {
                 "changes": self._store.applied,
                 "requests": self._requests,
--- a/kelpjunction/lab/scale/users.py
+++ b/kelpjunction/lab/scale/users.py
@@ -16,7 +16,7 @@
 from kelpjunction.lab.scale.checker import Checker
 from kelpjunction.lab.scale.measures import Measures
 from kelpjunction.lab.scale.plan import Load, ScalePlan
-from kelpjunction.transport import NoAnswer, Transport
+from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire.users import ABORT_END, JOBS_PATH
 
 POLL_EVERY_S = 5.0
@@ -168,7 +168,7 @@
             return None, None
         try:
             status, fields = self._transport.request(self._random.choice(addresses), method, path, body, patience)
-        except NoAnswer:
+        except NoResponse:
             return None, None
         state = fields.get("tide") if status in (200, 201) else None
         self._checker.answered(time.monotonic(), ref, status, state)
--- a/kelpjunction/lab/site.py
+++ b/kelpjunction/lab/site.py
@@ -17,7 +17,7 @@
 from kelpjunction.lab.store import USUAL_LIMITS, StoreStandIn
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.settings import CloudLimits, Team, WorkerTimes
-from kelpjunction.transport import NoAnswer
+from kelpjunction.transport import NoResponse
 from kelpjunction.wire.users import ABORT_END, JOBS_PATH
 
 GUEST = Team("guest", 0.0, 0.0, None, None)
@@ -67,7 +67,10 @@
         self.started_late: list[str] = []  # tasks started after their user was told of the cancellation: counted only
 
     def ask(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int, dict]:
-        """A user's request, to a node of this name or to any: status and answer; raises `NoAnswer` if none takes it."""
+        """A user's request, to a node of this name or to any: status and answer.
+
+        Raises `NoResponse` if none takes it.
+        """
         raise NotImplementedError
 
     def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
@@ -78,7 +81,7 @@
         return None, {}
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
-        """A worker's report to the node of this number; raises `NoAnswer`."""
+        """A worker's report to the node of this number; raises `NoResponse`."""
         raise NotImplementedError
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
@@ -86,7 +89,7 @@
         sent_at = self.clock.now
         try:
             status, answer = self.reach_node(worker, worker.node, fields)
-        except NoAnswer:
+        except NoResponse:
             worker.unanswered()
             return
         worker.answered(fields, sent_at, status, answer)
@@ -205,7 +208,7 @@
         """`ask`, with None for the status where no node takes the connection."""
         try:
             return self.ask(method, path, body, node)
-        except NoAnswer:
+        except NoResponse:
             return None, {}
 
     def submit(self, ref: str, tasks: int = 1, node: str | None = None, **fields) -> int | None:
--- a/kelpjunction/lab/weeks.py
+++ b/kelpjunction/lab/weeks.py
@@ -16,7 +16,7 @@
 from kelpjunction.ledger.audit import Replayed, audit
 from kelpjunction.ledger.fading import ONE
 from kelpjunction.ledger.reader import Books, read
-from kelpjunction.settings import Operators, Team, load_operators
+from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
 
 SMALL, USUAL = 8.0, 16.0
 TEAMS = (
@@ -64,9 +64,9 @@
     """Plays so much time of day as six weeks of load; a short run squeezes them."""
 
     def __init__(self, seed: int, length: timedelta, day_speed: int = 720, form: str = "hyperbolic") -> None:
-        usual = load_operators(None)
+        usual = load_operator_settings(None)
         settings = replace(usual.ledger, enabled=True, half_life=length / 6, form=form)
-        self.operators: Operators = replace(usual, ledger=settings)
+        self.operators: OperatorSettings = replace(usual, ledger=settings)
         self.world = World(
             seed=seed, machines=12, capacity=12, teams=TEAMS, operators=self.operators, day_speed=day_speed
         )
@@ -169,12 +169,12 @@
         for node in self.world.nodes.values():
             if node is not None and id(node) not in self._watched:
                 self._watched.add(id(node))
-                node.leading.factor = self._noting(node)
+                node.leader_scheduler.team_weight_factor = self._noting(node)
 
     def _noting(self, node: Node):
         def factor(team: str) -> float:
-            value = node.keeper.factor(team)
-            self._used.add(Used(node.keeper.entry, team, value))
+            value = node.ledger_keeper.factor(team)
+            self._used.add(Used(node.ledger_keeper.entry, team, value))
             return value
 
         return factor
--- a/kelpjunction/lab/world.py
+++ b/kelpjunction/lab/world.py
@@ -20,10 +20,18 @@
 from kelpjunction.lab.exchanges import Exchanges
 from kelpjunction.lab.site import CLOUD_LIMITS, GUEST, STORE_LIMITS, TEAMS, Site
 from kelpjunction.lab.worker import OneWay, WorkerStandIn
-from kelpjunction.leadership import Reign
+from kelpjunction.leadership import LeaderTerm
 from kelpjunction.recorder import Event
-from kelpjunction.settings import Operators, Platform, Sibling, StoreLimits, Team, WorkerTimes, load_operators
-from kelpjunction.transport import NoAnswer, Reply
+from kelpjunction.settings import (
+    OperatorSettings,
+    PlatformSettings,
+    Sibling,
+    StoreLimits,
+    Team,
+    WorkerTimes,
+    load_operator_settings,
+)
+from kelpjunction.transport import NoResponse, Reply
 from kelpjunction.wire.users import ABORT_END, JOBS_PATH
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
@@ -74,7 +82,7 @@
         teams: tuple[Team, ...] | None = None,
         aimed: frozenset[str] = frozenset(),
         weather: Weather | None = None,
-        operators: Operators | None = None,
+        operators: OperatorSettings | None = None,
         day_speed: int = 1,
         store: StoreLimits | None = None,
         times: WorkerTimes | None = None,
@@ -83,7 +91,7 @@
         super().__init__(SimClock(day_speed), seed, ("a", "b", "c"), teams or TEAMS, capacity)
         self.times = times or self.times
         self.store.limits = store
-        self.operators = operators or load_operators(None)
+        self.operators = operators or load_operator_settings(None)
         self.weather, self.varied = weather, weather is not None
         self.aimed = aimed
         self.late: list[tuple[timedelta, int, Callable]] = []
@@ -95,7 +103,7 @@
         # How many seconds late copies of a report come again, if any do, and to which nodes.
         self.copies: Callable[[WorkerStandIn], list[tuple[float, str]]] = lambda worker: []
         self.kept_reports: list[dict] | None = None  # copies that come to every node when the next leader begins
-        self._led_by: Reign | None = None
+        self._led_by: LeaderTerm | None = None
         self.filter: Callable[[str, str, str], str | None] = self._weathered
         # How long a node stands still before this request leaves it, if at all.
         self.stand_still: Callable[[str, str, str], float] = lambda source, target, path: 0.0
@@ -111,14 +119,15 @@
 
     # -- nodes ----------------------------------------------------------------
 
-    def platform(self, name: str) -> Platform:
+    def platform(self, name: str) -> PlatformSettings:
         number = int(name[-1])
         others = [i for i in range(3) if i != number]
-        return Platform(
-            node=name, zone=self.zones[number], listen=f"10.0.0.{number}:8080", internal=f"10.0.0.{number}:8081",
+        return PlatformSettings(
+            node=name, zone=self.zones[number], listen_address=f"10.0.0.{number}:8080",
+            internal_address=f"10.0.0.{number}:8081",
             siblings=tuple(Sibling(f"holdfast-{i}", self.zones[i], f"10.0.0.{i}:8081") for i in others),
             cloud_address=CLOUD, store_address=STORE, zones=self.zones, teams={t.name: t for t in self.teams},
-            aimed=self.aimed, workers=self.times,
+            classes_with_objectives=self.aimed, workers=self.times,
             store=self.store.limits or STORE_LIMITS, cloud=CLOUD_LIMITS,
         )  # fmt: skip
 
@@ -185,7 +194,7 @@
 
     def leader(self) -> Node | None:
         for node in self.nodes.values():
-            if node is not None and node.leadership.reign is not None:
+            if node is not None and node.leadership.leader_term is not None:
                 return node
         return None
 
@@ -202,7 +211,7 @@
             node = self.nodes[source]
             self.freeze(source, pause)
             if self.nodes[source] is not node:
-                raise NoAnswer("the process was killed meanwhile")
+                raise NoResponse("the process was killed meanwhile")
         if address == STORE and source in self.cut_from_store:
             return Reply(503, {})
         if path == PEER_PATH:
@@ -212,16 +221,16 @@
         if fate == "held":
             # Held back: the sender gives up, and it is carried out later.
             def carry_out_late() -> None:
-                with suppress(NoAnswer):
+                with suppress(NoResponse):
                     handler(method, path, body)
 
             self.later(self.random.uniform(*self.held_for), carry_out_late)
-            raise NoAnswer("held back")
+            raise NoResponse("held back")
         if fate == "lost":
-            raise NoAnswer("request lost")
+            raise NoResponse("request lost")
         reply = handler(method, path, body)
         if fate == "answer lost":
-            raise NoAnswer("answer lost")
+            raise NoResponse("answer lost")
         return reply
 
     def _weathered(self, source: str, target: str, path: str) -> str | None:
@@ -246,7 +255,7 @@
                 return
             try:
                 status, answer = self.reach_node(worker, worker.node, fields)
-            except NoAnswer:
+            except NoResponse:
                 worker.unanswered()
                 return
             if worker.one_way is not None:
@@ -274,7 +283,7 @@
     def _keep_for_next(self) -> None:
         """What was kept of reports comes in everywhere just as another leader begins."""
         leader = self.leader()
-        reign = leader.leadership.reign if leader is not None else None
+        reign = leader.leadership.leader_term if leader is not None else None
         if reign is None or reign is self._led_by:
             return
         self._led_by = reign
@@ -294,15 +303,15 @@
             return self.cloud.handle
         worker = self.cloud.at.get(address)
         if worker is None or not worker.up or worker.cut or worker.one_way is OneWay.DEAF:
-            raise NoAnswer("nobody there")
+            raise NoResponse("nobody there")
 
         def carry_out(method: str, path: str, body: dict) -> Reply:
             if worker.hung is not None:
                 worker.packets.append(lambda: worker.handle(method, path, body))
-                raise NoAnswer("the machine hangs")
+                raise NoResponse("the machine hangs")
             reply = worker.handle(method, path, body) if worker.alive else Reply(503, {})
             if worker.one_way is not None:
-                raise NoAnswer("answer lost")
+                raise NoResponse("answer lost")
             return reply
 
         return carry_out
@@ -312,19 +321,19 @@
         name = next(f"holdfast-{i}" for i in range(3) if address == f"10.0.0.{i}:8081")
         node = self.nodes[name]
         if node is None or name in self.frozen or self.cut_from_peers & {source, name}:
-            raise NoAnswer("no sibling there")
+            raise NoResponse("no sibling there")
         return Reply(200, {"fresh": node.intake.fresh})
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
         name = f"holdfast-{number}"
         node = self.nodes[name]
         if node is None or worker.cut or self.filter(worker.name, name, "/checkin"):
-            raise NoAnswer("no node there")
+            raise NoResponse("no node there")
         body = orjson.dumps(fields)
         if name in self.frozen:
             # The report waits in the node's socket; its answer will be too late.
             self._waiting.setdefault(name, []).append(lambda: node.check_in(body))
-            raise NoAnswer("the node stands still")
+            raise NoResponse("the node stands still")
         status, answer = node.check_in(body)
         return status, orjson.loads(answer)
 
@@ -347,7 +356,7 @@
         if name is not None:
             able = [n for n in able if n == name]
         if not able:
-            raise NoAnswer(f"{name or 'every node'} refuses the connection")
+            raise NoResponse(f"{name or 'every node'} refuses the connection")
         return self.nodes[self.random.choice(able)]
 
     # -- time -----------------------------------------------------------------
@@ -387,19 +396,19 @@
         return things
 
     def _step_node(self, node: Node, beat: int) -> None:
-        node.follow()
+        node.watch_store()
         if beat % 5 == 0:
-            node.leadership.step()
-        node.stop()
+            node.leadership.run_once()
+        node.stop_tasks()
         for _ in range(4):
             if not node.round():
                 break
         if beat % 5 == 0:
-            node.watch.step()
+            node.machine_monitor.run_once()
         if beat % 10 == 0:
-            node.fleet.step()
+            node.fleet.run_once()
             node.ask_siblings()
-            node.keep()
+            node.update_ledger()
 
 
 class _Link:
--- a/kelpjunction/leadership/__init__.py
+++ b/kelpjunction/leadership/__init__.py
@@ -1,6 +1,6 @@
 """Who is alive and who leads: election by a held key, terms, takeover.
 
-Owns this node's hold, its `Standing` and, while it leads, its `Reign`.  The
+Owns this node's hold, its `Role` and, while it leads, its `LeaderTerm`.  The
 keys `l/node/<name>` and `l/lead` are attached to the hold, so they vanish when
 their node stops extending it; the term in `l/term` rises with every takeover and never falls.  Every
 write of a leader is guarded by the version of `l/lead`, which does not change
@@ -15,34 +15,34 @@
 from enum import Enum
 from typing import ClassVar
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
+from kelpjunction.rate_limiter import Purpose
 from kelpjunction.recorder import Event, Recorder
-from kelpjunction.renewal import Renewal
-from kelpjunction.settings import Operators, Platform
-from kelpjunction.store.client import Ending, HoldLost, StoreClient, StoreDown
-from kelpjunction.store.mirror import LIVE, Mirror
+from kelpjunction.renewal import LeaseRenewalPolicy
+from kelpjunction.settings import OperatorSettings, PlatformSettings
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreLeaseExpired, StoreUnavailable
+from kelpjunction.store.mirror import LIVE_PREFIX, Mirror
 
 log = logging.getLogger("leadership")
 
-LEAD_KEY = LIVE + "lead"
+LEADER_KEY = LIVE_PREFIX + "lead"
 
 
-class Standing(Enum):
-    """What this node is; `_stand` makes every change."""
+class Role(Enum):
+    """What this node is; `_set_role` makes every change."""
 
-    OUTSIDE = "outside"  # without a hold
+    NON_MEMBER = "outside"  # without a hold
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 @dataclass(slots=True)
-class Reign:
+class LeaderTerm:
     """One node's time as leader."""
 
     term: int
-    lead_version: int
-    began: timedelta
+    leader_key_version: int
+    started_at: timedelta
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,34 +64,34 @@
 
     def __init__(
         self,
-        platform: Platform,
-        operators: Operators,
+        platform: PlatformSettings,
+        operators: OperatorSettings,
         store: StoreClient,
         mirror: Mirror,
         clock: Clock,
         incarnation: str,
-        on_change: Callable[[Reign | None], None],
+        on_change: Callable[[LeaderTerm | None], None],
         recorder: Recorder,
-        prefix: str = LIVE,
+        prefix: str = LIVE_PREFIX,
     ) -> None:
         self._recorder = recorder
-        self._lead_key, self._member_prefix, self._term_key = (prefix + name for name in ("lead", "node/", "term"))
+        self._leader_key, self._member_prefix, self._term_key = (prefix + name for name in ("lead", "node/", "term"))
         self._node = platform.node
         self._identity = {"zone": platform.zone, "incarnation": incarnation}
-        self._length = operators.hold
+        self._length = operators.store_lease
         self._store = store
         self._mirror = mirror
         self._clock = clock
         self._on_change = on_change
-        self._hold: int | None = None
+        self._lease_id: int | None = None
         self._busy = False
-        self.renewal = Renewal(platform.workers.lease, platform.workers.cancel, operators.block_lease)
-        self._touching = True  # as the log has told last
-        self.standing = Standing.OUTSIDE
-        self.reign: Reign | None = None
-        self.is_deaf: Callable[[], bool] = lambda: False  # whether this node reaches no machine
+        self.renewal = LeaseRenewalPolicy(platform.workers.lease, platform.workers.cancel, operators.block_lease)
+        self._logged_can_renew = True  # as the log has told last
+        self.role = Role.NON_MEMBER
+        self.leader_term: LeaderTerm | None = None
+        self.no_machine_reachable: Callable[[], bool] = lambda: False  # whether this node reaches no machine
         self.members: dict[str, dict] = {}  # the nodes that are alive: their zones and incarnations
-        mirror.listen(self._lead_key, self._lead_changed)
+        mirror.listen(self._leader_key, self._lead_changed)
         mirror.listen(self._member_prefix, self._member_changed)
 
     def _member_changed(self, key: str, value: dict | None, version: int) -> None:
@@ -102,45 +102,45 @@
             self.members[name] = value
 
     @property
-    def beat(self) -> timedelta:
-        """How often `step` wants to be called."""
+    def heartbeat_interval(self) -> timedelta:
+        """How often `run_once` wants to be called."""
         return self._length / 4
 
-    def in_touch(self) -> bool:
+    def can_renew_leases(self) -> bool:
         """Whether a 200 to a worker of a block that this node holds cannot break a rule now."""
-        return self.renewal.may_renew(self._mirror.fresh_at, self._clock.steady())
+        return self.renewal.may_renew(self._mirror.known_until, self._clock.steady())
 
-    def note_touch(self) -> None:
+    def log_renewal_change(self) -> None:
         """Tell the log when this node stops renewing leases, and when it does again."""
-        if self._mirror.loaded and self.in_touch() is not self._touching:
-            self._touching = not self._touching
-            if self._touching:
+        if self._mirror.loaded and self.can_renew_leases() is not self._logged_can_renew:
+            self._logged_can_renew = not self._logged_can_renew
+            if self._logged_can_renew:
                 log.info("leases are renewed here again")
             else:
-                grace = self.renewal.grace.total_seconds()
+                grace = self.renewal.grace_period.total_seconds()
                 log.info("no lease is renewed here: no news of the state service for %.1f s", grace)
 
-    def informed(self) -> bool:
+    def mirror_is_fresh(self) -> bool:
         """Whether the state service's news are fresh, so that what this node holds is likely still its own."""
         return self._mirror.fresh
 
-    def step(self) -> bool:
+    def run_once(self) -> bool:
         """Take or extend the hold; run for leader when nobody leads.  False if the state service would not."""
         if self._busy or not self._mirror.loaded:
             return True
         self._busy = True
         try:
-            if self.standing is Standing.OUTSIDE:
+            if self.role is Role.NON_MEMBER:
                 self._join()
             else:
                 self._extend()
                 told = self._mirror.get(self._member_prefix + self._node)
-                if self.standing is not Standing.OUTSIDE and (told is None or told.value != self._member):
-                    self._tell(self._hold)
-            if self.standing is Standing.FOLLOWER and self._vacant():
+                if self.role is not Role.NON_MEMBER and (told is None or told.value != self._member):
+                    self._write_member_key(self._lease_id)
+            if self.role is Role.FOLLOWER and self._is_leadership_vacant():
                 self._run_for_leader()
             return True
-        except StoreDown as error:
+        except StoreUnavailable as error:
             log.debug("no step: %s", error)
             return False
         finally:
@@ -148,19 +148,19 @@
 
     def _extend(self) -> None:
         try:
-            self._store.extend_hold(self._hold, timeout=self._length / 2)
-        except HoldLost:
-            self._stand(Standing.OUTSIDE, "hold ended")
+            self._store.extend_lease(self._lease_id, timeout=self._length / 2)
+        except StoreLeaseExpired:
+            self._set_role(Role.NON_MEMBER, "hold ended")
             self._join()
 
     def _join(self) -> None:
         """Become a member under a new hold."""
-        hold = self._store.take_hold(self._length)
-        if self._tell(hold):
-            self._hold = hold
-            self._stand(Standing.FOLLOWER, "member")
+        hold = self._store.grant_lease(self._length)
+        if self._write_member_key(hold):
+            self._lease_id = hold
+            self._set_role(Role.FOLLOWER, "member")
 
-    def _tell(self, hold: int) -> bool:
+    def _write_member_key(self, lease: int) -> bool:
         """Write this node's member key.
 
         Guarded by its version: a write without an answer, of this process or
@@ -170,11 +170,11 @@
         key, member = self._member_prefix + self._node, self._member
         for _ in range(2):
             guards = {key: self._mirror.version(key)}
-            outcome = self._store.commit(guards, {key: member}, holds={key: hold}, purpose=Purpose.HOLD)
-            if outcome.ending is Ending.APPLIED:
+            outcome = self._store.commit(guards, {key: member}, leases={key: lease}, purpose=Purpose.COORDINATION)
+            if outcome.status is CommitStatus.APPLIED:
                 self._mirror.put(key, member, outcome.revision)
                 return True
-            if outcome.ending is not Ending.CONFLICT:
+            if outcome.status is not CommitStatus.CONFLICT:
                 return False
             self._mirror.refresh(key)
         return False
@@ -182,9 +182,9 @@
     @property
     def _member(self) -> dict:
         """Who this node is, and whether it reaches no machine."""
-        return self._identity | ({"deaf": True} if self.is_deaf() else {})
+        return self._identity | ({"deaf": True} if self.no_machine_reachable() else {})
 
-    def _vacant(self) -> bool:
+    def _is_leadership_vacant(self) -> bool:
         """Whether nobody leads, as far as this node knows.
 
         Two processes never run under one name at once: a lead under this
@@ -192,7 +192,7 @@
         candidacy of its own whose outcome it did not hear.  Whoever is back in a
         fraction of a second need not wait for that hold to end.
         """
-        lead = self._mirror.get(self._lead_key)
+        lead = self._mirror.get(self._leader_key)
         return lead is None or lead.value["node"] == self._node
 
     def _run_for_leader(self) -> None:
@@ -200,39 +200,39 @@
         term = (entry.value if entry else 0) + 1
         lead = {"node": self._node, "term": term}
         outcome = self._store.commit(
-            {self._lead_key: self._mirror.version(self._lead_key), self._term_key: entry.version if entry else 0},
-            {self._lead_key: lead, self._term_key: term},
-            holds={self._lead_key: self._hold},
-            purpose=Purpose.HOLD,
+            {self._leader_key: self._mirror.version(self._leader_key), self._term_key: entry.version if entry else 0},
+            {self._leader_key: lead, self._term_key: term},
+            leases={self._leader_key: self._lease_id},
+            purpose=Purpose.COORDINATION,
         )
-        if outcome.ending is Ending.UNKNOWN:
+        if outcome.status is CommitStatus.UNKNOWN:
             # It may still make this node leader on paper: under a new hold,
             # that ends by itself.
-            self._stand(Standing.OUTSIDE, "candidacy of unknown outcome")
-        if outcome.ending is not Ending.APPLIED:
+            self._set_role(Role.NON_MEMBER, "candidacy of unknown outcome")
+        if outcome.status is not CommitStatus.APPLIED:
             return
         self._mirror.put(self._term_key, term, outcome.revision)
         # The listener must already see a leader when the key comes in.
-        self.reign = Reign(term, outcome.revision, self._clock.steady())
-        self._mirror.put(self._lead_key, lead, outcome.revision)
-        self._stand(Standing.LEADER, f"term {term}")
+        self.leader_term = LeaderTerm(term, outcome.revision, self._clock.steady())
+        self._mirror.put(self._leader_key, lead, outcome.revision)
+        self._set_role(Role.LEADER, f"term {term}")
 
     def _lead_changed(self, key: str, value: dict | None, version: int) -> None:
-        if key == self._lead_key and self.standing is Standing.LEADER and version != self.reign.lead_version:
-            self._stand(Standing.FOLLOWER, "superseded")
+        if key == self._leader_key and self.role is Role.LEADER and version != self.leader_term.leader_key_version:
+            self._set_role(Role.FOLLOWER, "superseded")
 
-    def _stand(self, standing: Standing, why: str) -> None:
+    def _set_role(self, role: Role, why: str) -> None:
         """The one place where the standing changes."""
-        self.standing = standing
+        self.role = role
         term = self._mirror.get(self._term_key)
-        self._recorder.note(
+        self._recorder.record(
             StandingChanged(
-                self._node, self._identity["incarnation"], standing.value, why, term.value if term else 0, self._hold,
+                self._node, self._identity["incarnation"], role.value, why, term.value if term else 0, self._lease_id,
                 self._mirror.revision or 0,
             )
         )  # fmt: skip
-        if standing is not Standing.LEADER:
-            self.reign = None
-        if standing is Standing.OUTSIDE:
-            self._hold = None
-        self._on_change(self.reign)
+        if role is not Role.LEADER:
+            self.leader_term = None
+        if role is Role.NON_MEMBER:
+            self._lease_id = None
+        self._on_change(self.leader_term)
--- a/kelpjunction/ledger/__init__.py
+++ b/kelpjunction/ledger/__init__.py
@@ -6,7 +6,7 @@
 `reader`, `audit`, `archive` and `report` serve the operators' commands and are
 never imported by a node.
 
-What a job has held until a moment follows from its records (`Job.held_ms`), so
+What a job has held until a moment follows from its records (`Job.machine_time_ms`), so
 an entry charges the difference between what the records say now and what they
 said at the entry before.  Nothing is added up from observed events: whoever
 dies, stands still or writes with an unknown outcome, the next entry charges
--- a/kelpjunction/ledger/keeper.py
+++ b/kelpjunction/ledger/keeper.py
@@ -17,10 +17,9 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import MILLISECOND, ZERO, Clock, seconds
-from kelpjunction.jobs.book import END_PREFIX, Book
-from kelpjunction.leadership import LEAD_KEY, Reign
+from kelpjunction.jobs.job_index import END_PREFIX, JobIndex
+from kelpjunction.leadership import LEADER_KEY, LeaderTerm
 from kelpjunction.ledger.accounts import (
     GENESIS,
     Amounts,
@@ -32,8 +31,9 @@
     settings_entry,
 )
 from kelpjunction.ledger.fading import ONE
-from kelpjunction.settings import LedgerSettings, Platform
-from kelpjunction.store.client import Ending, StoreClient
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.settings import LedgerSettings, PlatformSettings
+from kelpjunction.store.client import CommitStatus, StoreClient
 from kelpjunction.store.mirror import Mirror
 from kelpjunction.transport import Transport
 from kelpjunction.wire.state import MAX_TXN_BYTES
@@ -99,11 +99,11 @@
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformSettings,
         settings: LedgerSettings,
         store: StoreClient,
         mirror: Mirror,
-        book: Book,
+        book: JobIndex,
         clock: Clock,
         transport: Transport,
     ) -> None:
@@ -116,7 +116,7 @@
         self._book = book
         self._clock = clock
         self._transport = transport
-        self._reign: Reign | None = None
+        self._reign: LeaderTerm | None = None
         self.state = Keeping.AWAY
         self._head = Head(0, GENESIS, 0, None)
         self._version = 0  # of the head, as this node last read or wrote it
@@ -143,8 +143,8 @@
 
     # -- a reign ------------------------------------------------------------------
 
-    def begin(self, reign: Reign) -> None:
-        """Start a reign with the balances as the last closing left them; raises `StoreDown`."""
+    def begin(self, reign: LeaderTerm) -> None:
+        """Start a reign with the balances as the last closing left them; raises `StoreUnavailable`."""
         self._reign = reign
         self._stand(Keeping.READING, f"term {reign.term}")
         self._read()
@@ -176,7 +176,7 @@
 
     def _read_ended(self) -> dict[str, Ended]:
         """All jobs that ended since the revision up to which every page is closed."""
-        found = self._store.follow(END_PREFIX, self._head.revision, ZERO, self._transport)
+        found = self._store.watch(END_PREFIX, self._head.revision, ZERO, self._transport)
         if found is None:
             # The service forgot the changes: nobody closed for very long.
             changes = [e for e in self._store.scan(END_PREFIX)[0] if e.version > self._head.revision]
@@ -201,7 +201,7 @@
     # -- closing --------------------------------------------------------------------
 
     def step(self) -> None:
-        """Close what is due; raises `StoreDown`.
+        """Close what is due; raises `StoreUnavailable`.
 
         The reign may end while this waits for an answer: what it then still
         writes fails by the guards.
@@ -220,10 +220,10 @@
             self._next_at = self._clock.steady() + min(self._period, LOOK_EVERY)
             self._close(reign, at)
 
-    def _by(self, reign: Reign) -> str:
+    def _by(self, reign: LeaderTerm) -> str:
         return f"{self._node} term {reign.term}"
 
-    def _close(self, reign: Reign, at: int) -> None:
+    def _close(self, reign: LeaderTerm, at: int) -> None:
         revision = self._mirror.revision
         open_ = self._open(at)
         ended = self._read_ended()
@@ -261,7 +261,7 @@
         for ref in self._book.metered:
             job = self._book.jobs[ref]
             spec = job.spec
-            found[ref] = spec.team, held(spec.cpus, spec.gpus, spec.memory, job.held_ms(moment))
+            found[ref] = spec.team, held(spec.cpus, spec.gpus, spec.memory, job.machine_time_ms(moment))
         return found
 
     def _now(
@@ -295,7 +295,7 @@
         if work waits whose factor has changed meanwhile: nothing is written
         while nothing runs and nobody waits.
         """
-        waiting = {self._book.jobs[ref].spec.team for ref in self._book.waiting}
+        waiting = {self._book.jobs[ref].spec.team for ref in self._book.pending_jobs}
         names: dict[int, list[str]] = {}
         early = False
         late = self._mirror.revision - self._head.revision > FAR_BEHIND
@@ -337,21 +337,21 @@
             self._told_behind = True
             log.info("this node's time of day is %d ms behind the ledger's last entry: it is closed later", by)
 
-    def _write(self, reign: Reign, entries: list[dict], pages: Mapping[int, Page], revision: int) -> None:
+    def _write(self, reign: LeaderTerm, entries: list[dict], pages: Mapping[int, Page], revision: int) -> None:
         """Add entries to the chain and put their pages in force, in one transaction."""
         head = Head(entries[-1]["n"], entries[-1]["hash"], revision, self._policy)
         puts: dict[str, Any] = {entry_key(e["n"]): e for e in entries}
         puts |= {page_key(number): page.record() for number, page in pages.items()}
         puts[HEAD_KEY] = head.record()
-        guards = {LEAD_KEY: reign.lead_version, HEAD_KEY: self._version}
+        guards = {LEADER_KEY: reign.leader_key_version, HEAD_KEY: self._version}
         outcome = self._store.commit(guards, puts, purpose=Purpose.RESULT)
         self._next_at = self._clock.steady() + seconds(len(puts) / CHANGES_A_SECOND)
         self._looked = 0  # pages may be left that are due
-        if outcome.ending is Ending.APPLIED:
+        if outcome.status is CommitStatus.APPLIED:
             self._head, self._version = head, outcome.revision
             self._adopt(pages)
             self._told_behind = False
             self._mirror.put(HEAD_KEY, head.record(), outcome.revision)
-        elif outcome.ending is not Ending.REFUSED:
+        elif outcome.status is not CommitStatus.REFUSED:
             # It may have been applied, or another closing was before it.
-            self._stand(Keeping.READING, f"a closing ended in {outcome.ending.value}")
+            self._stand(Keeping.READING, f"a closing ended in {outcome.status.value}")
--- a/kelpjunction/ledger/reader.py
+++ b/kelpjunction/ledger/reader.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from kelpjunction.budget import Purpose
 from kelpjunction.ledger.accounts import GENESIS, Malformed, Page, Policy
 from kelpjunction.ledger.keeper import BASE_KEY, ENTRY_PREFIX, HEAD_KEY, PAGE_PREFIX, entry_key
-from kelpjunction.store.client import Ending, StoreClient
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.store.client import CommitStatus, StoreClient
 
 BASE_PAGE_PREFIX = "u/base/"
 
@@ -43,7 +43,7 @@
 
 
 def read(store: StoreClient) -> Books:
-    """The whole ledger; raises `StoreDown`, and `Malformed` where there is none.
+    """The whole ledger; raises `StoreUnavailable`, and `Malformed` where there is none.
 
     The leader goes on closing meanwhile, so the head is read first and later
     entries are left out; pages are told only if no closing came between.
@@ -96,6 +96,6 @@
 
 
 def _put(store: StoreClient, guards: dict, puts: dict, deletes: list[str] = ()) -> None:
-    outcome = store.commit(guards, puts, deletes, purpose=Purpose.SPARE)
-    if outcome.ending is not Ending.APPLIED:
-        raise Malformed(f"the state service did not take it ({outcome.ending.value}); run the command again")
+    outcome = store.commit(guards, puts, deletes, purpose=Purpose.BEST_EFFORT)
+    if outcome.status is not CommitStatus.APPLIED:
+        raise Malformed(f"the state service did not take it ({outcome.status.value}); run the command again")
--- a/kelpjunction/metrics.py
+++ b/kelpjunction/metrics.py
@@ -11,7 +11,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.exposition import CONTENT_TYPE_PLAIN_0_0_4, generate_latest
 
-from kelpjunction.budget import Plenty
+from kelpjunction.rate_limiter import LimiterState
 
 if TYPE_CHECKING:
     from kelpjunction.daemon import Node
@@ -37,18 +37,28 @@
     def collect(self) -> Iterator[Metric]:
         node = self._node
         yield CounterMetricFamily("kelpjunction_rounds", "Rounds played.", node.rounds)
-        yield GaugeMetricFamily("kelpjunction_leads", "1 while this node leads.", node.leadership.reign is not None)
-        yield GaugeMetricFamily("kelpjunction_jobs", "Jobs that are not over.", len(node.book.jobs))
-        yield GaugeMetricFamily("kelpjunction_jobs_waiting", "Jobs with tasks to hand over.", len(node.book.waiting))
-        yield GaugeMetricFamily("kelpjunction_blocks_held", "Blocks that this node holds.", len(node.blocks.my_zones()))
-        yield GaugeMetricFamily("kelpjunction_workers", "Workers that report to this node.", len(node.roster.workers))
-        unreachable = node.roster.unreachable()
+        yield GaugeMetricFamily(
+            "kelpjunction_leads", "1 while this node leads.", node.leadership.leader_term is not None
+        )
+        yield GaugeMetricFamily("kelpjunction_jobs", "Jobs that are not over.", len(node.job_index.jobs))
+        yield GaugeMetricFamily(
+            "kelpjunction_jobs_waiting", "Jobs with tasks to hand over.", len(node.job_index.pending_jobs)
+        )
+        yield GaugeMetricFamily(
+            "kelpjunction_blocks_held", "Blocks that this node holds.", len(node.blocks.held_zones())
+        )
+        yield GaugeMetricFamily(
+            "kelpjunction_workers", "Workers that report to this node.", len(node.worker_registry.workers)
+        )
+        unreachable = node.worker_registry.unreachable()
         yield GaugeMetricFamily("kelpjunction_workers_deaf", "Of those, not reached from here.", unreachable)
         yield CounterMetricFamily("kelpjunction_store_requests", "Sent to the state service.", node.store.requests)
         yield CounterMetricFamily("kelpjunction_store_refusals", "Of those, answered 429.", node.store.refusals)
-        budget = node.store.budget
+        budget = node.store.rate_limiter
         yield GaugeMetricFamily(
-            "kelpjunction_store_short", "1 while changes wait or were refused.", budget.plenty is not Plenty.AMPLE
+            "kelpjunction_store_short",
+            "1 while changes wait or were refused.",
+            budget.state is not LimiterState.UNTHROTTLED,
         )
         for name, text, counts in (
             ("kelpjunction_store_changes", "Changes sent to the state service, by purpose.", budget.spent),
@@ -56,15 +66,17 @@
             ("kelpjunction_store_refused_writes", "Writes answered 429, by purpose.", budget.refusals),
         ):
             yield _by(name, text, "purpose", counts)
-        yield CounterMetricFamily("kelpjunction_starts", "Starts sent straight to workers.", node.roster.starts)
-        yield CounterMetricFamily("kelpjunction_stops", "Stops sent straight to workers.", node.roster.stops)
-        decisions = node.roster.decisions
+        yield CounterMetricFamily(
+            "kelpjunction_starts", "Starts sent straight to workers.", node.worker_registry.starts
+        )
+        yield CounterMetricFamily("kelpjunction_stops", "Stops sent straight to workers.", node.worker_registry.stops)
+        decisions = node.worker_registry.decisions
         yield _by("kelpjunction_settled", "Placements that ended, by cause.", "cause", decisions.causes)
         yield _by("kelpjunction_settled_by", "The same, by what proved it.", "ground", decisions.grounds)
         yield _by("kelpjunction_starts_said", "Starts said to workers, by way.", "way", decisions.ways)
         yield _by("kelpjunction_reports_refused", "Reports that got no 200, by ground.", "ground", decisions.refusals)
-        if node.keeper is not None:
-            yield GaugeMetricFamily("kelpjunction_ledger_entry", "The last entry known.", node.keeper.entry)
+        if node.ledger_keeper is not None:
+            yield GaugeMetricFamily("kelpjunction_ledger_entry", "The last entry known.", node.ledger_keeper.entry)
 
 
 def _by(name: str, text: str, label: str, counts: Mapping[Enum, float]) -> CounterMetricFamily:
--- a/kelpjunction/placement/__init__.py
+++ b/kelpjunction/placement/__init__.py
@@ -2,37 +2,44 @@
 
 Pure: it takes views of machines and returns decisions, and writes only to the
 views it was given, which are its caller's scratch copies.  `views` has the
-machines, `room` their index, `tasks` and `gangs` choose, `stopping` makes
+machines, `free_capacity` their index, `tasks` and `gangs` choose, `preemption` makes
 room, `prices` says what it costs.
 """
 
+from kelpjunction.placement.free_capacity import FreeCapacityIndex, MachineKind, MachineSelection, selection_of
 from kelpjunction.placement.gangs import place_gang
-from kelpjunction.placement.prices import ANY_PRICE, DEAR, Budget, cheapest_slot, slot_price, slots_on
-from kelpjunction.placement.room import Choice, FreeRoom, Kind, choice_of
-from kelpjunction.placement.stopping import Found, Victim, make_room
+from kelpjunction.placement.preemption import PreemptionCache, Victim, plan_preemptions
+from kelpjunction.placement.prices import (
+    EXPENSIVE_PRICE_RATIO,
+    NO_PRICE_LIMIT,
+    PriceLimit,
+    hourly_price_per_task,
+    lowest_hourly_price_per_task,
+    tasks_per_machine,
+)
 from kelpjunction.placement.tasks import place
-from kelpjunction.placement.views import SLACK, View, allowed, fetch_cost, type_fits, zone_room
+from kelpjunction.placement.views import SLACK, MachineView, allowed, fetch_cost, type_fits, zone_room
 
 __all__ = [
-    "ANY_PRICE",
-    "DEAR",
+    "EXPENSIVE_PRICE_RATIO",
+    "NO_PRICE_LIMIT",
     "SLACK",
-    "Budget",
-    "Choice",
-    "Found",
-    "FreeRoom",
-    "Kind",
+    "FreeCapacityIndex",
+    "MachineKind",
+    "MachineSelection",
+    "MachineView",
+    "PreemptionCache",
+    "PriceLimit",
     "Victim",
-    "View",
     "allowed",
-    "cheapest_slot",
-    "choice_of",
     "fetch_cost",
-    "make_room",
+    "hourly_price_per_task",
+    "lowest_hourly_price_per_task",
     "place",
     "place_gang",
-    "slot_price",
-    "slots_on",
+    "plan_preemptions",
+    "selection_of",
+    "tasks_per_machine",
     "type_fits",
     "zone_room",
 ]
--- a/kelpjunction/placement/gangs.py
+++ b/kelpjunction/placement/gangs.py
@@ -3,19 +3,19 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from kelpjunction.placement.prices import slot_price
-from kelpjunction.placement.room import choice_of
-from kelpjunction.placement.views import View, fetch_cost
+from kelpjunction.placement.free_capacity import selection_of
+from kelpjunction.placement.prices import hourly_price_per_task
+from kelpjunction.placement.views import MachineView, fetch_cost
 from kelpjunction.wire.messages import JobSpec
 
 
-def place_gang(spec: JobSpec, views: Iterable[View]) -> list[View] | None:
+def place_gang(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView] | None:
     """Machines for a whole gang, one entry a task, or None if it does not fit."""
-    choice = choice_of(views)
+    choice = selection_of(views)
     if choice.slots(spec, whole=True).total() < spec.tasks:
         return None  # nearly always on a busy fleet, and no machine was looked at
     usable = choice.usable(spec)
-    by_zone: dict[str, list[View]] = {}
+    by_zone: dict[str, list[MachineView]] = {}
     for view in usable:
         by_zone.setdefault(view.zone, []).append(view)
     # One zone first: a gang that need not cross zones should not.
@@ -28,21 +28,21 @@
         return None
     best = min(plans, key=lambda plan: _gang_cost(spec, plan))
     for view, n in best.items():
-        view.take(spec, n)
+        view.allocate(spec, n)
     return [view for view, n in best.items() for _ in range(n)]
 
 
-def _fill_gang(spec: JobSpec, pool: list[View]) -> dict[View, int] | None:
+def _fill_gang(spec: JobSpec, pool: list[MachineView]) -> dict[MachineView, int] | None:
     """Greedy: the machines that take most first; then swaps to use fewer."""
     limit = -(-spec.tasks // 2) if spec.spread else spec.tasks
     room = {v.name: v.capacity(spec) for v in pool}
     if sum(room.values()) < spec.tasks:
         return None
-    prices = {kind: slot_price(spec, *kind) for kind in {(v.type, v.spot) for v in pool}}
+    prices = {kind: hourly_price_per_task(spec, *kind) for kind in {(v.type, v.spot) for v in pool}}
     order = sorted(
         pool,
         key=lambda v: (
-            v.shunned,
+            v.suspected,
             -min(room[v.name], spec.tasks),
             fetch_cost(spec, v),
             prices[v.type, v.spot],
@@ -67,9 +67,9 @@
     return {by_name[name]: n for name, n in plan.items()}
 
 
-def _swap(spec: JobSpec, plan: dict[str, int], by_name: dict[str, View], room: dict[str, int]) -> None:
+def _swap(spec: JobSpec, plan: dict[str, int], by_name: dict[str, MachineView], room: dict[str, int]) -> None:
     """Move a machine's tasks to one outside the plan that is better for all of them."""
-    costs = {name: (v.shunned, fetch_cost(spec, v), room[name]) for name, v in by_name.items()}
+    costs = {name: (v.suspected, fetch_cost(spec, v), room[name]) for name, v in by_name.items()}
     # The cheapest first, so that the first that does is the best.
     order = sorted(by_name, key=lambda name: (costs[name], name))
     for name in sorted(plan, key=lambda n: plan[n]):
@@ -83,11 +83,11 @@
                 break
 
 
-def _gang_cost(spec: JobSpec, plan: dict[View, int]) -> tuple:
+def _gang_cost(spec: JobSpec, plan: dict[MachineView, int]) -> tuple:
     return (
-        any(v.shunned for v in plan),
+        any(v.suspected for v in plan),
         len({v.zone for v in plan}),
         max(fetch_cost(spec, v) for v in plan),
         len(plan),
-        sum(slot_price(spec, v.type, v.spot) for v in plan),
+        sum(hourly_price_per_task(spec, v.type, v.spot) for v in plan),
     )
--- a/kelpjunction/placement/stopping.py
+++ b/kelpjunction/placement/preemption.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from kelpjunction.placement.views import SLACK, View, allowed, fetch_cost, zone_room
-from kelpjunction.queue import Rights
+from kelpjunction.placement.views import SLACK, MachineView, allowed, fetch_cost, zone_room
+from kelpjunction.queue import PreemptionPolicy
 from kelpjunction.wire.messages import JobSpec, Priority, Shape
 
 
@@ -31,20 +31,20 @@
     chosen: list[Victim] | None
 
 
-class Found:
+class PreemptionCache:
     """Whom to stop where, for the jobs of one round: those that ask for the same ask once of each machine.
 
     A machine is asked again once what is free on it, or who may be stopped on
     it, has changed.
     """
 
-    def __init__(self, victims: dict[str, list[Victim]], rights: Rights) -> None:
+    def __init__(self, victims: dict[str, list[Victim]], preemption_policy: PreemptionPolicy) -> None:
         self.victims = victims
-        self._rights = rights
+        self._preemption_policy = preemption_policy
         self._known: dict[tuple, dict[str, _Stops]] = {}
         self._stoppable: dict[tuple, dict[str, bool]] = {}  # by the job that victims are tasks of
 
-    def stops(self, spec: JobSpec, view: View) -> list[Victim] | None:
+    def victims_for(self, spec: JobSpec, view: MachineView) -> list[Victim] | None:
         """The cheapest victims on a machine that make room for one task of a job; none may be needed."""
         needs = (spec.cpus, spec.gpus, spec.memory, *self._rank(spec))
         known = self._known.setdefault(needs, {})
@@ -54,14 +54,14 @@
         if before is not None and before.free == free and before.victims == len(there):
             return before.chosen
         chosen = None
-        if there or view.has_room(spec):
+        if there or view.fits_ignoring_reservations(spec):
             chosen = _enough(spec, view, self._below(spec, there))
         known[view.name] = _Stops(free, len(there), chosen)
         return chosen
 
     def _rank(self, spec: JobSpec) -> tuple:
         """All of a job that decides whom it may stop."""
-        return spec.priority, spec.shape, self._rights.leftover(spec)
+        return spec.priority, spec.shape, self._preemption_policy.is_opportunistic(spec)
 
     def _below(self, spec: JobSpec, victims: Iterable[Victim]) -> list[Victim]:
         may = self._stoppable.setdefault(self._rank(spec), {})
@@ -69,23 +69,23 @@
         for victim in victims:
             ref = victim.spec.ref
             if ref not in may:
-                may[ref] = self._rights.may_stop(spec, victim.spec)
+                may[ref] = self._preemption_policy.may_preempt(spec, victim.spec)
             if may[ref]:
                 below.append(victim)
         return below
 
 
-def make_room(
-    spec: JobSpec, count: int, views: Iterable[View], found: Found, zones: Counter
-) -> list[tuple[View, list[Victim]]]:
+def plan_preemptions(
+    spec: JobSpec, count: int, views: Iterable[MachineView], preemption_cache: PreemptionCache, zones: Counter
+) -> list[tuple[MachineView, list[Victim]]]:
     """Machines where up to `count` tasks of the job gain room at the least loss, and whom to stop there.
 
     `zones` counts the job's tasks by zone; it, the views and the victims are
     brought up to date.
     """
 
-    def score(view: View) -> tuple | None:
-        chosen = found.stops(spec, view)
+    def score(view: MachineView) -> tuple | None:
+        chosen = preemption_cache.victims_for(spec, view)
         if chosen is None:
             return None
         lost = sum((v.loss for v in chosen), timedelta()).total_seconds()
@@ -93,19 +93,21 @@
 
     # Services alone may go where a gang that has waited long waits for the rest of its machines to come free:
     # arrays that found no room elsewhere once filled each of them again, and the gang never began.
-    ours = (v for v in views if not v.firmly or spec.shape is Shape.SERVICE or v.held_for == spec.ref)
-    able = [v for v in ours if allowed(spec, v.type, v.zone, v.spot) and not v.shunned and not v.kept]
+    ours = (
+        v for v in views if not v.hold_excludes_arrays or spec.shape is Shape.SERVICE or v.held_for_gang == spec.ref
+    )
+    able = [v for v in ours if allowed(spec, v.type, v.zone, v.spot) and not v.suspected and not v.gpu_reserved]
     heap = [entry for entry in map(score, able) if entry is not None]
     heapq.heapify(heap)
-    gained: list[tuple[View, list[Victim]]] = []
+    gained: list[tuple[MachineView, list[Victim]]] = []
     while heap and len(gained) < count:
         *_, view, chosen = heapq.heappop(heap)
         if zone_room(spec, zones, view.zone) <= 0:
             continue
         for victim in chosen:
-            found.victims[view.name].remove(victim)
-            view.give_back(victim.spec)
-        view.take(spec)
+            preemption_cache.victims[view.name].remove(victim)
+            view.release(victim.spec)
+        view.allocate(spec)
         zones[view.zone] += 1
         gained.append((view, chosen))
         again = score(view)
@@ -114,7 +116,7 @@
     return gained
 
 
-def _enough(spec: JobSpec, view: View, victims: list[Victim]) -> list[Victim] | None:
+def _enough(spec: JobSpec, view: MachineView, victims: list[Victim]) -> list[Victim] | None:
     """The cheapest victims on a machine that make room for one task, without needless ones."""
     free = [view.cpus, view.gpus, view.memory]
     need = (spec.cpus, spec.gpus, spec.memory)
--- a/kelpjunction/placement/prices.py
+++ b/kelpjunction/placement/prices.py
@@ -7,10 +7,10 @@
 from kelpjunction.placement.views import SLACK, type_fits
 from kelpjunction.wire.messages import JobSpec, MachineType
 
-DEAR = 4  # times the cheapest room
+EXPENSIVE_PRICE_RATIO = 4  # times the cheapest room
 
 
-def slots_on(spec: JobSpec, type_: MachineType) -> int:
+def tasks_per_machine(spec: JobSpec, type_: MachineType) -> int:
     """How many tasks of this job an empty machine of the type holds."""
     slots = 1_000_000
     for whole, each in ((type_.cpus, spec.cpus), (type_.gpus, spec.gpus), (type_.memory, spec.memory)):
@@ -19,24 +19,27 @@
     return max(1, slots)
 
 
-def slot_price(spec: JobSpec, type_: MachineType, spot: bool) -> float:
+def hourly_price_per_task(spec: JobSpec, type_: MachineType, spot: bool) -> float:
     """What an hour of room for one task costs on a machine of this type."""
-    return (type_.spot_price if spot else type_.price) / slots_on(spec, type_)
+    return (type_.spot_price if spot else type_.price) / tasks_per_machine(spec, type_)
 
 
-class Budget(NamedTuple):
+class PriceLimit(NamedTuple):
     """What room for a job need cost, and whether it may take room that costs several times that."""
 
-    cheapest: float
-    cheap_only: bool
+    lowest_hourly_price: float
+    exclude_expensive: bool
 
-    def dear(self, spec: JobSpec, type_: MachineType, spot: bool) -> bool:
-        return slot_price(spec, type_, spot) > DEAR * self.cheapest
+    def is_expensive(self, spec: JobSpec, type_: MachineType, spot: bool) -> bool:
+        return hourly_price_per_task(spec, type_, spot) > EXPENSIVE_PRICE_RATIO * self.lowest_hourly_price
 
 
-ANY_PRICE = Budget(math.inf, False)
+NO_PRICE_LIMIT = PriceLimit(math.inf, False)
 
 
-def cheapest_slot(spec: JobSpec, types: Iterable[MachineType]) -> float:
+def lowest_hourly_price_per_task(spec: JobSpec, types: Iterable[MachineType]) -> float:
     """The least that an hour of room for one task costs."""
-    return min((slot_price(spec, t, s) for t in types if type_fits(spec, t) for s in {False, spec.spot}), default=0.0)
+    return min(
+        (hourly_price_per_task(spec, t, s) for t in types if type_fits(spec, t) for s in {False, spec.spot}),
+        default=0.0,
+    )
--- a/kelpjunction/placement/views.py
+++ b/kelpjunction/placement/views.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class View:
+class MachineView:
     """A machine as placement sees it."""
 
     name: str
@@ -22,80 +22,80 @@
     gpus: float
     memory: float
     images: Container[str] = ()
-    arriving: set[str] = field(default_factory=set)
+    fetching_images: set[str] = field(default_factory=set)
     tasks: int = 0
-    shunned: bool = False
-    held_for: str | None = None
-    firmly: bool = False  # whether that keeps off arrays too that would else have others stopped
-    scratched: Callable[[str], None] | None = None  # told the name when a round writes to this view
+    suspected: bool = False
+    held_for_gang: str | None = None
+    hold_excludes_arrays: bool = False  # whether that keeps off arrays too that would else have others stopped
+    on_write: Callable[[str], None] | None = None  # told the name when a round writes to this view
     # What work that needs no accelerator must leave free here, since work
     # that needs one can go nowhere else.
-    kept: bool = False
-    kept_cpus: float = 0.0
-    kept_memory: float = 0.0
+    gpu_reserved: bool = False
+    gpu_reserved_cpus: float = 0.0
+    gpu_reserved_memory: float = 0.0
 
     def fits(self, spec: JobSpec) -> bool:
         """Whether one more task of this job has room here."""
         guest = spec.gpus <= 0
         return (
-            self.cpus + SLACK >= spec.cpus + (self.kept_cpus if guest else 0.0)
+            self.cpus + SLACK >= spec.cpus + (self.gpu_reserved_cpus if guest else 0.0)
             and self.gpus + SLACK >= spec.gpus
-            and self.memory + SLACK >= spec.memory + (self.kept_memory if guest else 0.0)
+            and self.memory + SLACK >= spec.memory + (self.gpu_reserved_memory if guest else 0.0)
         )
 
-    def has_room(self, spec: JobSpec) -> bool:
+    def fits_ignoring_reservations(self, spec: JobSpec) -> bool:
         """Whether one more task has room here, if nothing is kept for others."""
         return self.cpus + SLACK >= spec.cpus and self.gpus + SLACK >= spec.gpus and self.memory + SLACK >= spec.memory
 
-    def keep_for(self, spec: JobSpec) -> None:
+    def reserve_for_job(self, spec: JobSpec) -> None:
         """Leave room here for one task of a job that has nowhere else to go."""
-        self.keep(spec.cpus, spec.gpus, spec.memory)
+        self.reserve_for_gpu_work(spec.cpus, spec.gpus, spec.memory)
 
-    def keep(self, cpus: float, gpus: float, memory: float) -> None:
+    def reserve_for_gpu_work(self, cpus: float, gpus: float, memory: float) -> None:
         """Leave this much free here for work that needs accelerators, while they are free."""
-        self.kept = True
+        self.gpu_reserved = True
         if self.gpus + SLACK >= gpus:
-            self.kept_cpus = max(self.kept_cpus, cpus)
-            self.kept_memory = max(self.kept_memory, memory)
+            self.gpu_reserved_cpus = max(self.gpu_reserved_cpus, cpus)
+            self.gpu_reserved_memory = max(self.gpu_reserved_memory, memory)
 
     def capacity(self, spec: JobSpec) -> int:
         """How many tasks of this job have room here."""
         guest = spec.gpus <= 0
         room = 1_000_000
         for free, each in (
-            (self.cpus - (self.kept_cpus if guest else 0.0), spec.cpus),
+            (self.cpus - (self.gpu_reserved_cpus if guest else 0.0), spec.cpus),
             (self.gpus, spec.gpus),
-            (self.memory - (self.kept_memory if guest else 0.0), spec.memory),
+            (self.memory - (self.gpu_reserved_memory if guest else 0.0), spec.memory),
         ):
             if each > 0:
                 room = min(room, int((free + SLACK) / each))
         return max(0, room)
 
-    def hold_for(self, ref: str, firmly: bool = False) -> None:
-        """Keep this machine for a gang: nothing below it in the order starts here; if `firmly`, no array at all."""
-        self.held_for, self.firmly = ref, firmly
-        self._scratch()
+    def hold_for_gang(self, ref: str, exclude_arrays: bool = False) -> None:
+        """Keep this machine for a gang: nothing below it in the order starts here; if `exclude_arrays`, no array."""
+        self.held_for_gang, self.hold_excludes_arrays = ref, exclude_arrays
+        self._notify_write()
 
-    def reserve(self, held_for: str | None, kept_cpus: float, kept_memory: float) -> None:
+    def set_reservation(self, held_for: str | None, kept_cpus: float, kept_memory: float) -> None:
         """Set what is held and kept here, as it was before or for as long as one looks beside it."""
-        self.held_for, self.kept_cpus, self.kept_memory = held_for, kept_cpus, kept_memory
-        self._scratch()
+        self.held_for_gang, self.gpu_reserved_cpus, self.gpu_reserved_memory = held_for, kept_cpus, kept_memory
+        self._notify_write()
 
-    def _scratch(self) -> None:
-        if self.scratched is not None:
-            self.scratched(self.name)
+    def _notify_write(self) -> None:
+        if self.on_write is not None:
+            self.on_write(self.name)
 
-    def take(self, spec: JobSpec, count: int = 1) -> None:
-        self._scratch()
+    def allocate(self, spec: JobSpec, count: int = 1) -> None:
+        self._notify_write()
         self.cpus -= spec.cpus * count
         self.gpus -= spec.gpus * count
         self.memory -= spec.memory * count
         self.tasks += count
         if spec.image not in self.images:
-            self.arriving.add(spec.image)
+            self.fetching_images.add(spec.image)
 
-    def give_back(self, spec: JobSpec, count: int = 1) -> None:
-        self._scratch()
+    def release(self, spec: JobSpec, count: int = 1) -> None:
+        self._notify_write()
         self.cpus += spec.cpus * count
         self.gpus += spec.gpus * count
         self.memory += spec.memory * count
@@ -136,9 +136,9 @@
     return spec.image_gb / max(type_.fetch_gb_per_s, 1e-3)
 
 
-def fetch_cost(spec: JobSpec, view: View) -> float:
+def fetch_cost(spec: JobSpec, view: MachineView) -> float:
     """Seconds that a task would wait for its image here."""
     if spec.image in view.images:
         return 0.0
     whole = whole_fetch(spec, view.type)
-    return whole * FETCHING_SHARE if spec.image in view.arriving else whole
+    return whole * FETCHING_SHARE if spec.image in view.fetching_images else whole
--- a/kelpjunction/queue/__init__.py
+++ b/kelpjunction/queue/__init__.py
@@ -16,21 +16,21 @@
 SLACK = 1e-6
 # The largest jobs are to begin within four minutes (PROTOCOL's users): half of that is left to the plain order,
 # the rest to what their room takes to come free or to boot.  After a minute already, others lost deadlines for it.
-PRESSING_AFTER = timedelta(seconds=120)
+LARGE_JOB_ESCALATION_DELAY = timedelta(seconds=120)
 
 
-class Waiting(NamedTuple):
+class PendingJob(NamedTuple):
     """A job with tasks that wait, as the order sees it."""
 
     ref: str
     weight: float
     submitted: datetime
-    received: timedelta
-    first: bool = False  # nothing is put ahead of it: a service
-    pressing: bool = False  # a large job that has waited long, and has not begun whole
+    machine_time: timedelta
+    is_service: bool = False  # nothing is put ahead of it: a service
+    escalated: bool = False  # a large job that has waited long, and has not begun whole
 
 
-class Claim(NamedTuple):
+class JobDemand(NamedTuple):
     """An unfinished job, and what all its unfinished tasks would hold at once."""
 
     ref: str
@@ -38,9 +38,9 @@
     gpus: float
 
 
-def shares(
+def weight_factors(
     waiting: Mapping[str, Collection[str]],
-    claims: Mapping[str, Iterable[Claim]],
+    claims: Mapping[str, Iterable[JobDemand]],
     teams: dict[str, Team],
     factor: Callable[[str], float] = lambda team: 1.0,
 ) -> dict[str, float]:
@@ -65,10 +65,10 @@
     return kept
 
 
-def _inside(team: Team, claims: Iterable[Claim]) -> set[str]:
+def _inside(team: Team, claims: Iterable[JobDemand]) -> set[str]:
     """The jobs that fit the team's guarantee together with all before them."""
     inside: set[str] = set()
-    if team.guest:
+    if team.without_guarantee:
         return inside  # who is guaranteed nothing is always beyond
     cpus = gpus = 0.0
     for claim in claims:
@@ -81,7 +81,7 @@
     return inside
 
 
-class Rights:
+class PreemptionPolicy:
     """Who may stop whom, and who only uses what others leave.
 
     Services may stop arrays and whole gangs that save.  Beyond the source,
@@ -90,38 +90,38 @@
     of lower priority is stopped.
     """
 
-    def __init__(self, teams: dict[str, Team], aimed: frozenset[str]) -> None:
+    def __init__(self, teams: dict[str, Team], classes_with_objectives: frozenset[str]) -> None:
         self._teams = teams
-        self._aimed = aimed
+        self._classes_with_objectives = classes_with_objectives
 
-    def guest(self, spec: JobSpec) -> bool:
+    def without_guarantee(self, spec: JobSpec) -> bool:
         """Whether the job's team is guaranteed nothing."""
         team = self._teams.get(spec.team)
-        return team is not None and team.guest
+        return team is not None and team.without_guarantee
 
-    def named(self, spec: JobSpec) -> bool:
+    def has_objective(self, spec: JobSpec) -> bool:
         """Whether an objective names the job's class; without objectives every class counts."""
-        return not self._aimed or spec.klass in self._aimed
+        return not self._classes_with_objectives or spec.klass in self._classes_with_objectives
 
-    def leftover(self, spec: JobSpec) -> bool:
+    def is_opportunistic(self, spec: JobSpec) -> bool:
         """Whether the job is array work that takes what others leave, and gives it back."""
-        return spec.shape is Shape.ARRAY and (self.guest(spec) or not self.named(spec))
+        return spec.shape is Shape.ARRAY and (self.without_guarantee(spec) or not self.has_objective(spec))
 
-    def may_stop(self, spec: JobSpec, victim: JobSpec) -> bool:
+    def may_preempt(self, spec: JobSpec, victim: JobSpec) -> bool:
         if victim.priority >= spec.priority or spec.shape is Shape.GANG:
             return False
         if spec.shape is Shape.SERVICE:
             return victim.shape is Shape.ARRAY or (victim.shape is Shape.GANG and bool(victim.checkpoint))
-        return self.leftover(victim) and not self.leftover(spec)
+        return self.is_opportunistic(victim) and not self.is_opportunistic(spec)
 
 
-def deficit(job: Waiting, now: datetime, credit: timedelta) -> float:
+def deficit(job: PendingJob, now: datetime, credit: timedelta) -> float:
     """What the job is owed, in weighted seconds."""
     waited = now - job.submitted + credit
-    return job.weight * waited.total_seconds() - job.received.total_seconds()
+    return job.weight * waited.total_seconds() - job.machine_time.total_seconds()
 
 
-def in_order(jobs: Iterable[Waiting], now: datetime, credit: timedelta) -> list[str]:
+def in_order(jobs: Iterable[PendingJob], now: datetime, credit: timedelta) -> list[str]:
     """Jobs by deficit, the largest first; the older, then the smaller id, where it is equal.
 
     Pressing jobs come, the oldest first, right behind the services that top
@@ -130,13 +130,13 @@
     those that pressed before it and for its own room.
     """
     jobs = sorted(jobs, key=lambda j: (-deficit(j, now, credit), j.submitted, j.ref))
-    plain = [j for j in jobs if not j.pressing]
-    top = next((i for i, j in enumerate(plain) if not j.first), len(plain))
-    pressing = sorted((j for j in jobs if j.pressing), key=lambda j: (j.submitted, j.ref))
+    plain = [j for j in jobs if not j.escalated]
+    top = next((i for i, j in enumerate(plain) if not j.is_service), len(plain))
+    pressing = sorted((j for j in jobs if j.escalated), key=lambda j: (j.submitted, j.ref))
     return [j.ref for j in (*plain[:top], *pressing, *plain[top:])]
 
 
-class Giants:
+class LargeJobs:
     """Which jobs are large for their class, by the largest of it that was seen lately."""
 
     def __init__(self, teams: dict[str, Team]) -> None:
@@ -146,27 +146,27 @@
     def note(self, specs: Iterable[JobSpec]) -> None:
         """See these jobs."""
         for spec in specs:
-            self._largest[spec.klass] = max(self._largest.get(spec.klass, 0.0), asked(spec))
+            self._largest[spec.klass] = max(self._largest.get(spec.klass, 0.0), total_demand(spec))
 
-    def large(self, spec: JobSpec) -> bool:
+    def is_large(self, spec: JobSpec) -> bool:
         """Whether the job asks for more than half of what the largest of its class does."""
-        return 2 * asked(spec) > self._largest.get(spec.klass, 0.0)
+        return 2 * total_demand(spec) > self._largest.get(spec.klass, 0.0)
 
-    def pressing(self, spec: JobSpec, started: int, waited: timedelta) -> bool:
+    def is_escalated(self, spec: JobSpec, started: int, waited: timedelta) -> bool:
         """Whether it has waited long, is large, and runs fewer tasks than its team may run of it at once.
 
         A guest only uses what others leave, and nothing is put ahead of anybody for it.
         """
         team = self._teams.get(spec.team)
-        if team is None or team.guest or spec.shape is Shape.SERVICE or waited < PRESSING_AFTER:
+        if team is None or team.without_guarantee or spec.shape is Shape.SERVICE or waited < LARGE_JOB_ESCALATION_DELAY:
             return False
         whole = spec.tasks
         if spec.shape is Shape.ARRAY:
-            whole = Usage(self._teams).room(spec.team, spec.cpus, spec.gpus, spec.tasks)
-        return started < whole and self.large(spec)
+            whole = Usage(self._teams).startable_tasks(spec.team, spec.cpus, spec.gpus, spec.tasks)
+        return started < whole and self.is_large(spec)
 
 
-def asked(spec: JobSpec) -> float:
+def total_demand(spec: JobSpec) -> float:
     """What a job asks for in all: accelerators where its tasks take any, else CPUs."""
     return (spec.gpus or spec.cpus) * spec.tasks
 
@@ -183,14 +183,14 @@
         self.cpus[team] = self.cpus.get(team, 0.0) + cpus * count
         self.gpus[team] = self.gpus.get(team, 0.0) + gpus * count
 
-    def without(self, kept: Iterable[JobSpec]) -> "Usage":
+    def excluding_jobs(self, kept: Iterable[JobSpec]) -> "Usage":
         """This, less what was added for these jobs as a whole."""
         left = Usage(self.teams, dict(self.cpus), dict(self.gpus))
         for spec in kept:
             left.add(spec.team, spec.cpus, spec.gpus, -spec.tasks)
         return left
 
-    def room(self, team: str, cpus: float, gpus: float, most: int) -> int:
+    def startable_tasks(self, team: str, cpus: float, gpus: float, most: int) -> int:
         """How many such tasks the team may still start, at most `most`."""
         limits = self.teams.get(team)
         if limits is None:
--- a/kelpjunction/recorder.py
+++ b/kelpjunction/recorder.py
@@ -56,7 +56,7 @@
         self._dumped_at: timedelta | None = None
         self.on_contradiction: Callable[[Event], None] = lambda event: None
 
-    def note(self, event: Event) -> None:
+    def record(self, event: Event) -> None:
         """Keep an event, and log it if its level is shown."""
         self._ring.append((self._clock.utc(), event))
         if log.isEnabledFor(event.level):
@@ -75,7 +75,7 @@
 
     def contradiction(self, event: Event, related: Callable[[Event], bool]) -> None:
         """Note what can't be, and write out what led to it; many at once are written out once."""
-        self.note(event)
+        self.record(event)
         self.on_contradiction(event)
         now = self._clock.steady()
         if self._dumped_at is None or now - self._dumped_at >= DUMPS_APART:
--- a/kelpjunction/settings.py
+++ b/kelpjunction/settings.py
@@ -10,7 +10,7 @@
 import orjson
 
 from kelpjunction.clock import seconds
-from kelpjunction.renewal import Renewal
+from kelpjunction.renewal import LeaseRenewalPolicy
 
 SCHEMA_FILE = Path(__file__).with_name("operators.schema.json")
 
@@ -39,7 +39,7 @@
     gpus_max: float | None
 
     @property
-    def guest(self) -> bool:
+    def without_guarantee(self) -> bool:
         """Whether the team is guaranteed nothing: it uses what others leave."""
         return not self.cpus and not self.gpus
 
@@ -74,19 +74,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformSettings:
     """Everything the platform's file says, in our own terms."""
 
     node: str
     zone: str
-    listen: str
-    internal: str
+    listen_address: str
+    internal_address: str
     siblings: tuple[Sibling, ...]
     cloud_address: str
     store_address: str
     zones: tuple[str, ...]
     teams: dict[str, Team]
-    aimed: frozenset[str]  # the classes of jobs that the objectives name
+    classes_with_objectives: frozenset[str]  # the classes of jobs that the objectives name
     workers: WorkerTimes
     store: StoreLimits
     cloud: CloudLimits
@@ -107,25 +107,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
+class OperatorSettings:
     """The operators' own settings; the schema holds the defaults."""
 
     class_weights: dict[str, float]
     urgency_weights: dict[str, float]
     arrival_credit: timedelta
-    round: timedelta
-    hold: timedelta
+    round_interval: timedelta
+    store_lease: timedelta
     block_lease: timedelta
-    snapshot: timedelta
+    snapshot_interval: timedelta
     idle_return: timedelta
     spare_share: float
-    spare_box_share: float
-    gang_memory: timedelta
+    spare_gpu_machine_ratio: float
+    peak_demand_window: timedelta
     ledger: LedgerSettings
     metrics: bool
 
     @property
-    def metered(self) -> bool:
+    def records_machine_time(self) -> bool:
         """Whether jobs' records tell how long their tasks hold their places."""
         return self.ledger.enabled
 
@@ -183,7 +183,7 @@
 )
 
 
-def load_platform(path: str | Path) -> Platform:
+def load_platform_settings(path: str | Path) -> PlatformSettings:
     """Read and check the platform's file; unknown fields are ignored."""
     try:
         raw = tomllib.loads(Path(path).read_text())
@@ -196,17 +196,17 @@
     params = raw["params"]
     _check_names(path, raw)
     workers, store, cloud = params["workers"], params["state"], params["cloud"]
-    return Platform(
+    return PlatformSettings(
         node=raw["node"],
         zone=raw["zone"],
-        listen=raw["listen"],
-        internal=raw["internal_addr"],
+        listen_address=raw["listen"],
+        internal_address=raw["internal_addr"],
         siblings=tuple(Sibling(s["node"], s["zone"], s["endpoint"]) for s in raw.get("siblings", ())),
         cloud_address=raw["services"]["cloud"],
         store_address=raw["services"]["state"],
         zones=tuple(params["zones"]),
         teams={t["name"]: _team(t) for t in params["teams"]},
-        aimed=frozenset(o["class"] for o in params.get("objectives", ()) if "class" in o),
+        classes_with_objectives=frozenset(o["class"] for o in params.get("objectives", ()) if "class" in o),
         workers=WorkerTimes(
             report=seconds(workers["report_s"]),
             lease=seconds(workers["lease_s"]),
@@ -226,7 +226,7 @@
     siblings = raw.get("siblings", ())
     lease, cancel = (seconds(params["workers"][name]) for name in ("lease_s", "cancel_s"))
     try:
-        Renewal(lease, cancel, block_lease=lease)
+        LeaseRenewalPolicy(lease, cancel, block_lease=lease)
     except ValueError as error:
         raise SettingsError(f"{path}: params.workers: {error}") from error
     for name, zone in [("zone", raw["zone"]), *((f"siblings: {s['node']}: zone", s["zone"]) for s in siblings)]:
@@ -254,7 +254,7 @@
     )
 
 
-def load_operators(path: str | Path | None) -> Operators:
+def load_operator_settings(path: str | Path | None) -> OperatorSettings:
     """Read and check the operators' file; without one, the schema's defaults apply."""
     try:
         raw = {} if path is None else orjson.loads(Path(path).read_bytes())
@@ -264,18 +264,18 @@
         raw = fastjsonschema.compile(orjson.loads(SCHEMA_FILE.read_bytes()))(raw)
     except fastjsonschema.JsonSchemaValueException as error:
         raise SettingsError(f"{path}: {error.message.removeprefix('data.')}") from error
-    return Operators(
+    return OperatorSettings(
         class_weights=raw["class_weights"],
         urgency_weights=raw["urgency_weights"],
         arrival_credit=seconds(raw["arrival_credit_s"]),
-        round=seconds(raw["round_s"]),
-        hold=seconds(raw["hold_s"]),
+        round_interval=seconds(raw["round_s"]),
+        store_lease=seconds(raw["hold_s"]),
         block_lease=seconds(raw["block_lease_s"]),
-        snapshot=seconds(raw["snapshot_s"]),
+        snapshot_interval=seconds(raw["snapshot_s"]),
         idle_return=seconds(raw["idle_return_s"]),
         spare_share=raw["spare_share"],
-        spare_box_share=raw["spare_box_share"],
-        gang_memory=seconds(raw["gang_memory_s"]),
+        spare_gpu_machine_ratio=raw["spare_box_share"],
+        peak_demand_window=seconds(raw["gang_memory_s"]),
         ledger=_ledger(raw["ledger"]),
         metrics=raw["metrics"],
     )
--- a/kelpjunction/store/client.py
+++ b/kelpjunction/store/client.py
@@ -13,10 +13,10 @@
 
 import orjson
 
-from kelpjunction.budget import TERMS, Budget, Plenty, Purpose
 from kelpjunction.clock import ZERO, Clock
+from kelpjunction.rate_limiter import PURPOSE_POLICIES, LimiterState, Purpose, WriteRateLimiter
 from kelpjunction.settings import StoreLimits
-from kelpjunction.transport import NoAnswer, Reply, Transport
+from kelpjunction.transport import NoResponse, Reply, Transport
 from kelpjunction.wire import state as wire
 from kelpjunction.wire.state import GUARDS_PER_OP, MAX_TXN_BYTES
 from kelpjunction.wire.users import Malformed
@@ -25,29 +25,29 @@
 
 PAGE = 1000
 # Between two tries of a write that waits for its turn, or was refused.
-SHORTEST_PAUSE, LONGEST_PAUSE = timedelta(milliseconds=20), timedelta(milliseconds=100)
-TOLD_EVERY = timedelta(seconds=5)  # how often the log tells at most how the budget stands
+MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF = timedelta(milliseconds=20), timedelta(milliseconds=100)
+STATE_LOG_INTERVAL = timedelta(seconds=5)  # how often the log tells at most how the budget stands
 REPEATED_FOR = timedelta(seconds=1)
 # How often a write is sent again at the most that was refused: each try is a request.
-MOST_TRIES = 6
+MAX_COMMIT_REQUESTS = 6
 
 
-class StoreDown(Exception):
+class StoreUnavailable(Exception):
     """The state service did not answer or refused; nothing is known from this call."""
 
 
-class HoldLost(Exception):
+class StoreLeaseExpired(Exception):
     """A hold ended before this call."""
 
 
-class Service(Enum):
+class StoreReachability(Enum):
     """Whether the state service answers this node."""
 
-    ANSWERING = "answering"
-    SILENT = "silent"
+    REACHABLE = "answering"
+    UNREACHABLE = "silent"
 
 
-class Ending(Enum):
+class CommitStatus(Enum):
     """How a transaction ended, as far as this node knows."""
 
     APPLIED = "applied"
@@ -59,7 +59,7 @@
 class Outcome(NamedTuple):
     """A transaction's ending, its revision if applied, the failed guards if in conflict."""
 
-    ending: Ending
+    status: CommitStatus
     revision: int = 0
     failed: tuple[str, ...] = ()
 
@@ -67,14 +67,14 @@
 class Transaction:
     """Guards and changes that are applied together or not at all."""
 
-    __slots__ = ("deletes", "guards", "holds", "purpose", "puts")
+    __slots__ = ("deletes", "guards", "leases", "purpose", "puts")
 
     def __init__(self, purpose: Purpose = Purpose.RESULT) -> None:
         self.purpose = purpose
         self.guards: dict[str, int] = {}
         self.puts: dict[str, Any] = {}
         self.deletes: set[str] = set()
-        self.holds: dict[str, int] = {}
+        self.leases: dict[str, int] = {}
 
     def guard(self, key: str, version: int) -> "Transaction":
         self.guards[key] = version
@@ -98,7 +98,9 @@
         return keys + sum(len(orjson.dumps(v)) for v in self.puts.values())
 
 
-def fitted(txns: list[Transaction], limits: StoreLimits, most: int) -> tuple[Transaction, list[Transaction]]:
+def pack_next_transaction(
+    txns: list[Transaction], limits: StoreLimits, most: int
+) -> tuple[Transaction, list[Transaction]]:
     """The first of these with as many of those behind it as go into one transaction; and the rest.
 
     `most` bounds its changes, `limits` all else; none is split, and only what has the same purpose goes together.
@@ -124,12 +126,12 @@
     return first, txns[taken:]
 
 
-def merged(txns: Iterable[Transaction], limits: StoreLimits) -> list[Transaction]:
+def pack_transactions(txns: Iterable[Transaction], limits: StoreLimits) -> list[Transaction]:
     """These in as few transactions as the limits allow, in their order."""
     found: list[Transaction] = []
     rest = list(txns)
     while rest:
-        txn, rest = fitted(rest, limits, limits.txn_ops)
+        txn, rest = pack_next_transaction(rest, limits, limits.txn_ops)
         found.append(txn)
     return found
 
@@ -144,11 +146,11 @@
         self._address = address
         self._clock = clock
         self._sleep = sleep
-        self.budget = Budget(limits.write_rps * share, clock.steady())
+        self.rate_limiter = WriteRateLimiter(limits.write_rps * share, clock.steady())
         self.limits = limits
-        self._told, self._told_at = Plenty.AMPLE, clock.steady()
-        self.service = Service.ANSWERING
-        self.heard_at = clock.steady()
+        self._logged_state, self._state_logged_at = LimiterState.UNTHROTTLED, clock.steady()
+        self.reachability = StoreReachability.REACHABLE
+        self.last_response_at = clock.steady()
         self.requests = 0  # sent since this process began
         self.refusals = 0  # of those, answered 429
 
@@ -178,7 +180,7 @@
                 return entries, revision
             after = page[-1].key
 
-    def follow(
+    def watch(
         self, prefix: str, since: int, wait: timedelta, transport: Transport
     ) -> tuple[list[wire.Change], int] | None:
         """Changes after `since`; None if that is too long ago to tell.
@@ -189,8 +191,8 @@
         self.requests += 1
         try:
             reply = transport.request(self._address, "GET", path, None, wait + timedelta(seconds=3))
-        except NoAnswer as error:
-            raise StoreDown(str(error)) from error
+        except NoResponse as error:
+            raise StoreUnavailable(str(error)) from error
         if reply.status == 410:
             return None
         return self._parse(self._checked(reply), wire.parse_news)
@@ -202,9 +204,9 @@
         guards: Mapping[str, int],
         puts: Mapping[str, Any] | None = None,
         deletes: Iterable[str] = (),
-        holds: Mapping[str, int] | None = None,
+        leases: Mapping[str, int] | None = None,
         timeout: timedelta = timedelta(seconds=2),
-        purpose: Purpose = Purpose.SETTLE,
+        purpose: Purpose = Purpose.CANCEL_OR_FENCE,
     ) -> Outcome:
         """Apply a transaction, or only compare if there is nothing to change.
 
@@ -213,11 +215,11 @@
         for.  What was refused is sent again for a second at the most.
         """
         deletes = tuple(deletes)
-        body = wire.commit_body(guards, puts or {}, deletes, holds or {})
+        body = wire.commit_body(guards, puts or {}, deletes, leases or {})
         ops = len(puts or {}) + len(deletes)
-        left, tries = TERMS[purpose].patience, 0
-        while tries < MOST_TRIES and (left > ZERO or not tries):
-            if not ops or self.may(purpose, ops) or left <= ZERO:
+        left, tries = PURPOSE_POLICIES[purpose].max_delay, 0
+        while tries < MAX_COMMIT_REQUESTS and (left > ZERO or not tries):
+            if not ops or self.try_reserve(purpose, ops) or left <= ZERO:
                 if not tries:
                     left = REPEATED_FOR
                 outcome = self._commit_once(body, timeout)
@@ -226,33 +228,33 @@
                 # Too many requests: it was certainly not applied.
                 tries += 1
                 if ops:
-                    self.budget.refused(purpose, ops, self._clock.steady())
-            delay = self.budget.delay(purpose, ops, self._clock.steady()) if ops else LONGEST_PAUSE
-            pause = min(max(delay, SHORTEST_PAUSE * (tries + 1)), LONGEST_PAUSE)
+                    self.rate_limiter.on_refusal(purpose, ops, self._clock.steady())
+            delay = self.rate_limiter.delay(purpose, ops, self._clock.steady()) if ops else MAX_RETRY_BACKOFF
+            pause = min(max(delay, MIN_RETRY_BACKOFF * (tries + 1)), MAX_RETRY_BACKOFF)
             left -= pause
             self._sleep(pause)
-        return Outcome(Ending.REFUSED)
+        return Outcome(CommitStatus.REFUSED)
 
-    def may(self, purpose: Purpose, ops: int) -> bool:
+    def try_reserve(self, purpose: Purpose, ops: int) -> bool:
         """Whether so many changes may be sent now; if so they count as sent."""
         now = self._clock.steady()
-        may = self.budget.ask(purpose, ops, now)
-        if self.budget.plenty is not self._told and now - self._told_at >= TOLD_EVERY:
-            self._told, self._told_at = self.budget.plenty, now
-            waits = ", ".join(p.value for p in self.budget.waiting(now)) or "nothing"
-            log.info("changes to the state service are %s; what waits: %s", self._told.value, waits)
+        may = self.rate_limiter.try_reserve(purpose, ops, now)
+        if self.rate_limiter.state is not self._logged_state and now - self._state_logged_at >= STATE_LOG_INTERVAL:
+            self._logged_state, self._state_logged_at = self.rate_limiter.state, now
+            waits = ", ".join(p.value for p in self.rate_limiter.waiting(now)) or "nothing"
+            log.info("changes to the state service are %s; what waits: %s", self._logged_state.value, waits)
         return may
 
-    def room(self, purpose: Purpose) -> int:
+    def available_changes(self, purpose: Purpose) -> int:
         """How many changes may be sent now, at most."""
-        return self.budget.room(purpose, self._clock.steady())
+        return self.rate_limiter.available_changes(purpose, self._clock.steady())
 
-    def apply(self, txn: Transaction, timeout: timedelta = timedelta(seconds=2)) -> Outcome:
-        """Send a transaction of a round once, for which `may` has made room: a round waits for nothing."""
-        outcome = self._commit_once(wire.commit_body(txn.guards, txn.puts, txn.deletes, txn.holds), timeout)
+    def try_commit(self, txn: Transaction, timeout: timedelta = timedelta(seconds=2)) -> Outcome:
+        """Send a transaction of a round once, for which `try_reserve` has made room: a round waits for nothing."""
+        outcome = self._commit_once(wire.commit_body(txn.guards, txn.puts, txn.deletes, txn.leases), timeout)
         if outcome is None:
-            self.budget.refused(txn.purpose, txn.ops, self._clock.steady())
-            return Outcome(Ending.REFUSED)
+            self.rate_limiter.on_refusal(txn.purpose, txn.ops, self._clock.steady())
+            return Outcome(CommitStatus.REFUSED)
         return outcome
 
     def _commit_once(self, body: bytes, timeout: timedelta) -> Outcome | None:
@@ -260,41 +262,41 @@
         self.requests += 1
         try:
             reply = self._transport.request(self._address, "POST", wire.COMMIT_PATH, body, timeout)
-        except NoAnswer as error:
-            self._note(False, str(error))
-            return Outcome(Ending.UNKNOWN)
+        except NoResponse as error:
+            self._update_reachability(False, str(error))
+            return Outcome(CommitStatus.UNKNOWN)
         if reply.status == 200:
-            self._note(True)
+            self._update_reachability(True)
             try:
-                return Outcome(Ending.APPLIED, revision=wire.parse_revision(reply.fields))
+                return Outcome(CommitStatus.APPLIED, revision=wire.parse_revision(reply.fields))
             except Malformed:
-                return Outcome(Ending.UNKNOWN)
+                return Outcome(CommitStatus.UNKNOWN)
         if reply.status == 409:
-            self._note(True)
-            return Outcome(Ending.CONFLICT, failed=wire.parse_failed(reply.fields))
+            self._update_reachability(True)
+            return Outcome(CommitStatus.CONFLICT, failed=wire.parse_failed(reply.fields))
         if reply.status == 429:
             self.refusals += 1
-            self._note(True)
+            self._update_reachability(True)
             return None
         if reply.status in (400, 503):
-            self._note(reply.status != 503, "503")
+            self._update_reachability(reply.status != 503, "503")
             if reply.status == 400:
                 log.error("transaction refused: %s", reply.fields)
-            return Outcome(Ending.REFUSED)
-        return Outcome(Ending.UNKNOWN)
+            return Outcome(CommitStatus.REFUSED)
+        return Outcome(CommitStatus.UNKNOWN)
 
     # -- holds --------------------------------------------------------------
 
-    def take_hold(self, length: timedelta) -> int:
+    def grant_lease(self, length: timedelta) -> int:
         """Take a hold that ends by itself unless it is extended."""
         body = wire.hold_body(round(length.total_seconds() * 1000))
         return self._parse(self._ask("POST", wire.HOLDS_PATH, body, timedelta(seconds=2)), wire.parse_hold)
 
-    def extend_hold(self, hold: int, timeout: timedelta) -> None:
-        """Extend a hold; raises `HoldLost` if it has ended."""
-        reply = self._ask("POST", wire.hold_path(hold, "/extend"), b"{}", timeout)
+    def extend_lease(self, lease: int, timeout: timedelta) -> None:
+        """Extend a hold; raises `StoreLeaseExpired` if it has ended."""
+        reply = self._ask("POST", wire.hold_path(lease, "/extend"), b"{}", timeout)
         if reply.status == 404:
-            raise HoldLost
+            raise StoreLeaseExpired
         self._parse(reply, lambda fields: fields)
 
     # -- what is known of the service ---------------------------------------
@@ -303,33 +305,33 @@
         self.requests += 1
         try:
             reply = self._transport.request(self._address, method, path, body, timeout)
-        except NoAnswer as error:
-            self._note(False, str(error))
-            raise StoreDown(str(error)) from error
+        except NoResponse as error:
+            self._update_reachability(False, str(error))
+            raise StoreUnavailable(str(error)) from error
         return self._checked(reply)
 
     def _checked(self, reply: Reply) -> Reply:
         if reply.status in (429, 503) or reply.status >= 500:
             self.refusals += reply.status == 429
-            self._note(reply.status == 429, f"status {reply.status}")
-            raise StoreDown(f"status {reply.status}")
-        self._note(True)
+            self._update_reachability(reply.status == 429, f"status {reply.status}")
+            raise StoreUnavailable(f"status {reply.status}")
+        self._update_reachability(True)
         return reply
 
     def _parse(self, reply: Reply, parser):
         if reply.status != 200:
-            raise StoreDown(f"odd status {reply.status}: {reply.fields}")
+            raise StoreUnavailable(f"odd status {reply.status}: {reply.fields}")
         try:
             return parser(reply.fields)
         except Malformed as error:
             log.error("odd answer from the state service: %s", error)
-            raise StoreDown(str(error)) from error
+            raise StoreUnavailable(str(error)) from error
 
-    def _note(self, answered: bool, why: str = "") -> None:
+    def _update_reachability(self, answered: bool, why: str = "") -> None:
         """The one place where the service's state changes."""
         if answered:
-            self.heard_at = self._clock.steady()
-        state = Service.ANSWERING if answered else Service.SILENT
-        if state is not self.service:
-            self.service = state
+            self.last_response_at = self._clock.steady()
+        state = StoreReachability.REACHABLE if answered else StoreReachability.UNREACHABLE
+        if state is not self.reachability:
+            self.reachability = state
             log.info("state service is %s %s", state.value, why)
--- a/kelpjunction/store/mirror.py
+++ b/kelpjunction/store/mirror.py
@@ -13,8 +13,8 @@
 from gevent.event import AsyncResult
 
 from kelpjunction.clock import Clock
-from kelpjunction.renewal import WATCH
-from kelpjunction.store.client import Ending, StoreClient, StoreDown
+from kelpjunction.renewal import MAX_WATCH_TIMEOUT
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable
 from kelpjunction.transport import Transport
 from kelpjunction.wire.state import GUARDS_PER_OP, Change
 
@@ -22,14 +22,19 @@
 
 STALE_AFTER = timedelta(seconds=4)
 REREAD_EVERY = timedelta(seconds=60)
-LIVE = "l/"
+LIVE_PREFIX = "l/"
 
 
 class Mirror:
     """All keys below a prefix as this process last saw them: the live keys, unless another is given."""
 
     def __init__(
-        self, store: StoreClient, clock: Clock, transport: Transport, prefix: str = LIVE, watch: timedelta = WATCH
+        self,
+        store: StoreClient,
+        clock: Clock,
+        transport: Transport,
+        prefix: str = LIVE_PREFIX,
+        watch: timedelta = MAX_WATCH_TIMEOUT,
     ) -> None:
         self._prefix = prefix
         self._watch = watch  # how long to wait for news
@@ -41,9 +46,11 @@
         self._listeners: list[tuple[str, Callable[[str, Any, int], None]]] = []
         self.revision: int | None = None
         # A moment up to which every change is known here: `renewal` rests on it.
-        self.fresh_at: timedelta | None = None
+        self.known_until: timedelta | None = None
         self._read_at: timedelta | None = None  # when everything was read last
-        self.on_others: Callable[[int], None] = lambda changes: None  # told how many changes others had applied
+        self.on_foreign_changes: Callable[[int], None] = lambda changes: (
+            None
+        )  # told how many changes others had applied
 
     @property
     def loaded(self) -> bool:
@@ -52,7 +59,7 @@
     @property
     def fresh(self) -> bool:
         """Whether this node has heard the state service's news lately."""
-        return self.fresh_at is not None and self._clock.steady() - self.fresh_at < STALE_AFTER
+        return self.known_until is not None and self._clock.steady() - self.known_until < STALE_AFTER
 
     def listen(self, prefix: str, listener: Callable[[str, Any, int], None]) -> None:
         """Call `listener(key, value, version)` for each change below a prefix."""
@@ -80,13 +87,13 @@
                 unlike += self.put(key, None, revision)
         for entry in entries:
             unlike += self.put(*entry) and self.revision is not None and entry.version <= self.revision
-        self.revision, self.fresh_at, self._read_at = revision, asked_at, asked_at
+        self.revision, self.known_until, self._read_at = revision, asked_at, asked_at
         self._deleted = {k: v for k, v in self._deleted.items() if v > revision}
         log.info(
             "keys below %s read: %d at revision %d, %d not as followed", self._prefix, len(entries), revision, unlike
         )
 
-    def follow_once(self) -> None:
+    def watch_once(self) -> None:
         """Wait for the next changes and put them in; now and then compare with all that is kept.
 
         A job that no news told of would be known to no queue, and never run.
@@ -95,16 +102,16 @@
         if self.revision is None or asked_at - self._read_at >= REREAD_EVERY:
             self.load()
             return
-        got = self._store.follow(self._prefix, self.revision, self._watch, self._transport)
+        got = self._store.watch(self._prefix, self.revision, self._watch, self._transport)
         if got is None:
             self.load()
             return
         news, revision = got
         others = sum(self.put(*change) for change in news)
         if others:
-            self.on_others(others)
+            self.on_foreign_changes(others)
         self.revision = max(revision, self.revision)
-        self.fresh_at = asked_at
+        self.known_until = asked_at
         if self._deleted:
             self._deleted = {k: v for k, v in self._deleted.items() if v > self.revision}
 
@@ -161,24 +168,24 @@
         self._busy = False
         self._most = store.limits.txn_ops * GUARDS_PER_OP
 
-    def holds(self, guards: dict[str, int], timeout: timedelta = timedelta(seconds=1.5)) -> bool:
-        """Whether each key has the given version; raises `StoreDown` if that can't be told."""
+    def versions_current(self, guards: dict[str, int], timeout: timedelta = timedelta(seconds=1.5)) -> bool:
+        """Whether each key has the given version; raises `StoreUnavailable` if that can't be told."""
         answer: AsyncResult = AsyncResult()
         asked = (guards, answer)
         self._asked.append(asked)
         if not self._busy:
             self._busy = True
-            self._spawn(self._drain)
+            self._spawn(self._process_pending)
         answer.wait(timeout.total_seconds())
         # Nobody waits for it any more.  Where more was asked than could be
         # compared, these were answered first, and all others too late.
         self._asked = [a for a in self._asked if a is not asked]
         result = answer.value
         if result is None:
-            raise StoreDown("versions could not be compared")
+            raise StoreUnavailable("versions could not be compared")
         return result
 
-    def _drain(self) -> None:
+    def _process_pending(self) -> None:
         try:
             while self._asked:
                 self._answer_some()
@@ -202,7 +209,7 @@
         self._asked = later
         while batch:
             outcome = self._store.commit(guards, timeout=timedelta(seconds=1.5))
-            if outcome.ending is Ending.CONFLICT and outcome.failed:
+            if outcome.status is CommitStatus.CONFLICT and outcome.failed:
                 # Only a request that compared equal vouches for the others.
                 failed = set(outcome.failed)
                 for versions, answer in batch:
@@ -211,7 +218,7 @@
                 batch = [b for b in batch if not b[1].ready()]
                 guards = {k: v for versions, _ in batch for k, v in versions.items()}
                 continue
-            verdict = True if outcome.ending is Ending.APPLIED else None
+            verdict = True if outcome.status is CommitStatus.APPLIED else None
             for _, answer in batch:
                 answer.set(verdict)
             return
--- a/kelpjunction/tickets/desk.py
+++ b/kelpjunction/tickets/desk.py
@@ -8,12 +8,12 @@
 
 import orjson
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
-from kelpjunction.intake import RETRY_AFTER, TRIES, Answer, later, why_never
-from kelpjunction.jobs.book import Book
+from kelpjunction.intake import RETRY_AFTER, TRIES, UserResponse, infeasibility_reason, unavailable_response
+from kelpjunction.jobs.job_index import JobIndex
+from kelpjunction.rate_limiter import Purpose
 from kelpjunction.settings import Team
-from kelpjunction.store.client import Ending, Outcome, StoreClient, StoreDown, Transaction
+from kelpjunction.store.client import CommitStatus, Outcome, StoreClient, StoreUnavailable, Transaction
 from kelpjunction.store.mirror import Mirror, Verifier
 from kelpjunction.tickets import plan, users
 from kelpjunction.tickets.classes import TicketSettings, runs_again
@@ -55,7 +55,7 @@
         verifier: Verifier,
         records: TicketRecords,
         steps: Steps,
-        book: Book,
+        book: JobIndex,
         catalog,
         clock: Clock,
         random_source: Random,
@@ -74,20 +74,20 @@
 
     # -- submit -------------------------------------------------------------------
 
-    def submit(self, body: bytes) -> Answer:
+    def submit(self, body: bytes) -> UserResponse:
         """Accept a ticket wholly or not at all, or say how an earlier run of it stands, as its class says."""
         try:
             return self._submit(users.parse_submission(body))
         except Malformed as error:
-            return Answer(400, users.refusal([Fault("", "", str(error))]))
+            return UserResponse(400, users.refusal([Fault("", "", str(error))]))
         except Refused as refused:
-            return Answer(refused.status, users.refusal(refused.faults))
-        except StoreDown as error:
-            return later(f"the state service does not answer: {error}")
+            return UserResponse(refused.status, users.refusal(refused.faults))
+        except StoreUnavailable as error:
+            return unavailable_response(f"the state service does not answer: {error}")
 
-    def _submit(self, asked: users.Submission) -> Answer:
+    def _submit(self, asked: users.Submission) -> UserResponse:
         if not self._tickets.loaded:
-            return later("this gateway is starting")
+            return unavailable_response("this gateway is starting")
         digest = hashlib.blake2b(
             orjson.dumps([asked.template, asked.parameters], option=orjson.OPT_SORT_KEYS), digest_size=16
         ).hexdigest()
@@ -111,26 +111,26 @@
                 raise Refused([Fault("class", asked.order.klass, f"there are {known}")], 422)
             catalog = self._catalog()
             if not catalog:
-                return later("the machine types are not known yet")
+                return unavailable_response("the machine types are not known yet")
             if steps is None:
                 steps = self._read(asked)
             if len(self._records.live) >= self._settings.most_live or self._tickets.get(FULL_KEY) is not None:
-                return Answer(503, error_answer("as many tickets are kept as may be"), FULL_RETRY)
+                return UserResponse(503, error_answer("as many tickets are kept as may be"), FULL_RETRY)
             run = run_id(asked.ticket, max(number, occupied) + 1)
             salt = f"{self._random.getrandbits(64):016x}"  # nobody else can have taken its jobs' ids
             made = plan.plan(salted(run, salt), *steps, asked.order)
             self._check(made, catalog)
             outcome = self._accept(asked.ticket, run, salt, made, head.version if head else 0, digest)
-            if outcome.ending is Ending.APPLIED:
+            if outcome.status is CommitStatus.APPLIED:
                 log.info("ticket %s accepted: %d steps, %d tasks", run, len(made.jobs), made.tasks)
-                return Answer(201, users.accepted_answer(run))
-            if outcome.ending is not Ending.CONFLICT:
+                return UserResponse(201, users.accepted_answer(run))
+            if outcome.status is not CommitStatus.CONFLICT:
                 break
             if ENDED_PREFIX + run in outcome.failed:
                 occupied = max(number, occupied) + 1
         # Refused, or of unknown outcome: if it is applied later after all, the
         # client's retry finds the run.
-        return later("the state service did not confirm the ticket")
+        return unavailable_response("the state service did not confirm the ticket")
 
     def _read(self, asked: users.Submission) -> tuple[str, list[plan.Step]]:
         # Imported by the first ticket, so that a gateway answers before.
@@ -142,7 +142,7 @@
 
     def _check(self, made: Plan, catalog: Mapping[str, MachineType]) -> None:
         """Refuse what can never run; raises `Refused`."""
-        never = [(job, why_never(job.spec, catalog, self._teams)) for job in made.jobs]
+        never = [(job, infeasibility_reason(job.spec, catalog, self._teams)) for job in made.jobs]
         faults = [Fault(f"steps.{job.name}", "", why) for job, why in never if why]
         most = self._store.limits.value_bytes
         for job in made.jobs:
@@ -160,7 +160,7 @@
         if len(text) > self._store.limits.value_bytes // INLINE_SHARE:
             staged = self._stage(text)
             if staged is None:
-                return Outcome(Ending.REFUSED)
+                return Outcome(CommitStatus.REFUSED)
             (token, parts), version = staged
             kept = [token, parts]
             owner = STAGE_PREFIX + token
@@ -175,7 +175,7 @@
         head = {"run": int(run.rpartition(".")[2]), "class": spec.klass, "content": digest}
         txn.put(HEAD_PREFIX + ticket, head)
         outcome = self._store.commit(txn.guards, txn.puts, timeout=timedelta(seconds=3), purpose=Purpose.SUBMIT)
-        if outcome.ending is Ending.APPLIED:
+        if outcome.status is CommitStatus.APPLIED:
             self._records.keep_plan(run, made)
             self._records.note(txn, outcome.revision)
         return outcome
@@ -187,24 +187,24 @@
         parts = [text[at : at + size] for at in range(0, len(text), size)]
         owner = {"at": self._clock.utc().timestamp(), "parts": len(parts)}
         outcome = self._store.commit({STAGE_PREFIX + token: 0}, {STAGE_PREFIX + token: owner})
-        if outcome.ending is not Ending.APPLIED:
+        if outcome.status is not CommitStatus.APPLIED:
             return None
         for number, part in enumerate(parts):
             written = self._store.commit({STAGE_PREFIX + token: outcome.revision}, {part_key(token, number): part})
-            if written.ending is not Ending.APPLIED:
+            if written.status is not CommitStatus.APPLIED:
                 return None
         return (token, len(parts)), outcome.revision
 
     # -- show ---------------------------------------------------------------------
 
-    def show(self, text: str) -> Answer:
+    def show(self, text: str) -> UserResponse:
         """How a run stands; the latest one if its number is left out."""
         return self._of(text, lambda run, found: self._told(run, found))
 
-    def _of(self, text: str, answer) -> Answer:
+    def _of(self, text: str, answer) -> UserResponse:
         """The answer about a run that a user named."""
         if not self._tickets.loaded:
-            return later("this gateway is starting")
+            return unavailable_response("this gateway is starting")
         try:
             ticket, number = users.parse_id(text)
             if number is None:
@@ -212,11 +212,11 @@
                 number = head.value["run"] if head else None
             run = run_id(ticket, number or 0)
             found = self._find(run) if number else None
-            return Answer(404, error_answer("no such ticket")) if found is None else answer(run, found)
+            return UserResponse(404, error_answer("no such ticket")) if found is None else answer(run, found)
         except Malformed as error:
-            return Answer(404, error_answer(str(error)))
-        except StoreDown as error:
-            return later(f"the state service does not answer: {error}")
+            return UserResponse(404, error_answer(str(error)))
+        except StoreUnavailable as error:
+            return unavailable_response(f"the state service does not answer: {error}")
 
     def _find(self, run: str) -> Live | End | None:
         """A run, no older than what any gateway has told; None if there is none, or it is forgotten."""
@@ -224,33 +224,33 @@
         for _ in range(TRIES):
             live = self._records.live.get(run)
             if live is not None:
-                if self._verifier.holds({key: live.version}):
+                if self._verifier.versions_current({key: live.version}):
                     return live
                 self._tickets.refresh(key)
                 continue
             end = self._store.get(ENDED_PREFIX + run)
             if end is not None:
                 return End.parse(end.value)
-            if self._verifier.holds({key: 0, ENDED_PREFIX + run: 0}):
+            if self._verifier.versions_current({key: 0, ENDED_PREFIX + run: 0}):
                 return None
             self._tickets.refresh(key)
-        raise StoreDown("the ticket's record kept changing")
+        raise StoreUnavailable("the ticket's record kept changing")
 
-    def _told(self, run: str, found: Live | End) -> Answer:
+    def _told(self, run: str, found: Live | End) -> UserResponse:
         if isinstance(found, End):
-            return Answer(200, users.final_answer(run, found))
+            return UserResponse(200, users.final_answer(run, found))
         made = self._records.plan(found)
         jobs = {ref: self._book.jobs[ref] for step in made.jobs if (ref := step.spec.ref) in self._book.jobs}
         counts = {ref: (job.done_count(), job.placed_count()) for ref, job in jobs.items()}
-        return Answer(200, users.live_answer(run, found.course, made, counts))
+        return UserResponse(200, users.live_answer(run, found.course, made, counts))
 
     # -- cancel -------------------------------------------------------------------
 
-    def cancel(self, text: str) -> Answer:
+    def cancel(self, text: str) -> UserResponse:
         """Cancel a run: once 200 tells so, all its jobs are cancelled.  A run that ended stays as it is."""
         return self._of(text, self._cancel)
 
-    def _cancel(self, run: str, found: Live | End) -> Answer:
+    def _cancel(self, run: str, found: Live | End) -> UserResponse:
         if isinstance(found, End):
             return self._told(run, found)
         for _ in range(TRIES + len(found.course.states)):
@@ -259,8 +259,8 @@
                 break
             txn = self._steps.next(live, live.course.halted(cancelled=True))
             if txn is not None:
-                self._records.apply([txn], Purpose.SETTLE)
+                self._records.apply([txn], Purpose.CANCEL_OR_FENCE)
         found = self._find(run)
         if isinstance(found, End):
             return self._told(run, found)
-        return Answer(503, error_answer("the cancellation is under way"), RETRY_AFTER)
+        return UserResponse(503, error_answer("the cancellation is under way"), RETRY_AFTER)
--- a/kelpjunction/tickets/driver.py
+++ b/kelpjunction/tickets/driver.py
@@ -9,11 +9,11 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
-from kelpjunction.jobs.book import JOB_PREFIX, RUN_PREFIX, Book
-from kelpjunction.leadership import Reign
-from kelpjunction.store.client import Ending, StoreClient, StoreDown, Transaction
+from kelpjunction.jobs.job_index import JOB_PREFIX, RUN_PREFIX, JobIndex
+from kelpjunction.leadership import LeaderTerm
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable, Transaction
 from kelpjunction.store.mirror import Mirror
 from kelpjunction.tickets.classes import TicketSettings
 from kelpjunction.tickets.plan import job_ref
@@ -54,7 +54,7 @@
         jobs: Mirror,
         records: TicketRecords,
         steps: Steps,
-        book: Book,
+        book: JobIndex,
         clock: Clock,
     ) -> None:
         self._settings = settings
@@ -64,7 +64,7 @@
         self._steps = steps
         self._book = book
         self._clock = clock
-        self.reign: Reign | None = None
+        self.reign: LeaderTerm | None = None
         self._changed: set[str] = set()  # runs to look at
         self._run_of: dict[str, str] = {}  # of each job that is sent and not known to have ended
         self._known: dict[str, _Known] = {}
@@ -76,7 +76,7 @@
         jobs.listen(JOB_PREFIX, self._job_changed)
         jobs.listen(RUN_PREFIX, self._part_changed)
 
-    def lead(self, reign: Reign | None) -> None:
+    def lead(self, reign: LeaderTerm | None) -> None:
         """This gateway drives from now on, or no longer."""
         if reign is not None and self.reign is None:
             self._changed = set(self._records.live)
@@ -117,7 +117,7 @@
     # -- driving --------------------------------------------------------------------
 
     def step(self) -> bool:
-        """Write what follows from what changed; whether more is left to do at once.  Raises `StoreDown`."""
+        """Write what follows from what changed; whether more is left to do at once.  Raises `StoreUnavailable`."""
         if self.reign is None:
             self._changed.clear()
             return False
@@ -144,7 +144,7 @@
                     self._apart = not self._apart
                     self._changed.update(runs)
                     return False
-        except StoreDown:
+        except StoreUnavailable:
             self._changed.update(runs)
             raise
         self._apart = False
@@ -155,7 +155,7 @@
     # -- forgetting -----------------------------------------------------------------
 
     def sweep(self) -> None:
-        """Forget ended runs whose time is over, and plans that were staged and not accepted; raises `StoreDown`."""
+        """Forget ended runs whose time is over, and plans staged but not accepted; raises `StoreUnavailable`."""
         if self.reign is None:
             return
         now = self._clock.utc()
@@ -188,7 +188,7 @@
         else:
             # A new run moves the head: then this one is forgotten alone, next time.
             outcome = self._store.commit({key: head.version}, {}, [key, ENDED_PREFIX + run], purpose=Purpose.RESULT)
-        return outcome.ending is Ending.APPLIED
+        return outcome.status is CommitStatus.APPLIED
 
     def _tell_full(self) -> None:
         count, most = len(self._remembered), self._settings.most_remembered
@@ -204,7 +204,7 @@
         keys = [*(part_key(token, number) for number in range(parts)), owner]
         for first in range(0, len(keys), most):
             if (
-                self._store.commit({}, {}, keys[first : first + most], purpose=Purpose.RESULT).ending
-                is not Ending.APPLIED
+                self._store.commit({}, {}, keys[first : first + most], purpose=Purpose.RESULT).status
+                is not CommitStatus.APPLIED
             ):
                 return
--- a/kelpjunction/tickets/gateway.py
+++ b/kelpjunction/tickets/gateway.py
@@ -15,18 +15,18 @@
 import gevent
 from gevent.pool import Pool
 
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import Clock, SystemClock, seconds
 from kelpjunction.daemon import GC_THRESHOLDS, PAUSE_AFTER_TROUBLE, sleep
 from kelpjunction.fleet.cloud import CATALOG_KEY
 from kelpjunction.http import body_of, not_allowed, respond, server
-from kelpjunction.intake import Answer
-from kelpjunction.jobs.book import Book
-from kelpjunction.leadership import Leadership, Reign
+from kelpjunction.intake import UserResponse
+from kelpjunction.jobs.job_index import JobIndex
+from kelpjunction.leadership import Leadership, LeaderTerm
 from kelpjunction.recorder import Recorder
-from kelpjunction.settings import Operators, Platform
-from kelpjunction.store.client import StoreClient, StoreDown
-from kelpjunction.store.mirror import LIVE, Mirror, Verifier
+from kelpjunction.settings import OperatorSettings, PlatformSettings
+from kelpjunction.store.client import StoreClient, StoreUnavailable
+from kelpjunction.store.mirror import LIVE_PREFIX, Mirror, Verifier
 from kelpjunction.tickets import users
 from kelpjunction.tickets.classes import TicketSettings
 from kelpjunction.tickets.desk import Desk
@@ -53,8 +53,8 @@
 
     def __init__(
         self,
-        platform: Platform,
-        operators: Operators,
+        platform: PlatformSettings,
+        operators: OperatorSettings,
         settings: TicketSettings,
         transport: Transport,
         watches: tuple[Transport, Transport],
@@ -67,8 +67,8 @@
         self.store = StoreClient(transport, platform.store_address, platform.store, clock, pause, WRITE_SHARE)
         self.jobs = Mirror(self.store, clock, watches[0])
         self.tickets = Mirror(self.store, clock, watches[1], PREFIX)
-        self.book = Book(Changes())
-        self.jobs.listen(LIVE, self.book.changed)
+        self.book = JobIndex(ChangeTracker())
+        self.jobs.listen(LIVE_PREFIX, self.book.changed)
         self.request_rate = platform.store.rps * REQUEST_SHARE
         self._catalog: tuple[int, dict[str, MachineType]] = (0, {})
         self.leadership = Leadership(
@@ -84,7 +84,7 @@
             clock, random_source,
         )  # fmt: skip
 
-    def _reign_changed(self, reign: Reign | None) -> None:
+    def _reign_changed(self, reign: LeaderTerm | None) -> None:
         self.driver.lead(reign)
 
     def catalog(self) -> dict[str, MachineType]:
@@ -101,8 +101,8 @@
     def follow(self, mirror: Mirror) -> bool:
         """Take in the next changes; False if the state service was of no use."""
         try:
-            mirror.follow_once()
-        except StoreDown as error:
+            mirror.watch_once()
+        except StoreUnavailable as error:
             log.debug("follow: %s", error)
             return False
         return True
@@ -113,14 +113,14 @@
             return False
         try:
             return self.driver.step()
-        except StoreDown as error:
+        except StoreUnavailable as error:
             log.debug("step given up: %s", error)
             return False
 
     def sweep(self) -> None:
         try:
             self.driver.sweep()
-        except StoreDown as error:
+        except StoreUnavailable as error:
             log.debug("swept later: %s", error)
 
 
@@ -134,16 +134,16 @@
         try:
             answer = self._route(environ["REQUEST_METHOD"], environ["PATH_INFO"], environ)
         except Malformed as error:
-            answer = Answer(400, error_answer(str(error)))
+            answer = UserResponse(400, error_answer(str(error)))
         except Exception:
             log.exception("%s %s failed", environ["REQUEST_METHOD"], environ["PATH_INFO"])
-            answer = Answer(500, error_answer("internal error"))
+            answer = UserResponse(500, error_answer("internal error"))
         return respond(start_response, answer)
 
-    def _route(self, method: str, path: str, environ: dict) -> Answer:
+    def _route(self, method: str, path: str, environ: dict) -> UserResponse:
         desk = self._gateway.desk
         if path == HEALTH_PATH:
-            return Answer(200 if self._gateway.healthy else 503, b"{}")
+            return UserResponse(200 if self._gateway.healthy else 503, b"{}")
         if path == users.TICKETS_PATH:
             return desk.submit(body_of(environ)) if method == "POST" else not_allowed()
         if path.startswith(users.TICKETS_PATH + "/"):
@@ -154,13 +154,13 @@
                 body_of(environ)
                 return desk.cancel(name.removesuffix(users.CANCEL_END))
             return desk.show(name) if method == "GET" else not_allowed()
-        return Answer(404, error_answer("no such path"))
+        return UserResponse(404, error_answer("no such path"))
 
 
 class Daemon:
     """A gateway with its server and loops."""
 
-    def __init__(self, platform: Platform, operators: Operators, settings: TicketSettings) -> None:
+    def __init__(self, platform: PlatformSettings, operators: OperatorSettings, settings: TicketSettings) -> None:
         self._settings = settings
         self._random = random.Random()
         self.gateway = Gateway(
@@ -170,7 +170,7 @@
 
     def term(self) -> int | None:
         """The term this gateway drives in, or None."""
-        reign = self.gateway.leadership.reign
+        reign = self.gateway.leadership.leader_term
         return None if reign is None else reign.term
 
     def run_forever(self) -> None:
@@ -203,8 +203,8 @@
         self._follow(self.gateway.tickets)
 
     def _lead(self) -> None:
-        self.gateway.leadership.step()
-        sleep(self.gateway.leadership.beat if self.gateway.tickets.loaded else DRIVE_EVERY)
+        self.gateway.leadership.run_once()
+        sleep(self.gateway.leadership.heartbeat_interval if self.gateway.tickets.loaded else DRIVE_EVERY)
 
     def _drive(self) -> None:
         if not self.gateway.drive():
--- a/kelpjunction/tickets/records.py
+++ b/kelpjunction/tickets/records.py
@@ -23,11 +23,11 @@
 
 import orjson
 
-from kelpjunction.budget import Purpose
 from kelpjunction.clock import Clock
-from kelpjunction.jobs.book import END_PREFIX, JOB_PREFIX, Job, job_record
-from kelpjunction.store.client import Ending, StoreClient, StoreDown, Transaction, merged
-from kelpjunction.store.mirror import LIVE, Mirror
+from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX, Job, job_record
+from kelpjunction.rate_limiter import Purpose
+from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable, Transaction, pack_transactions
+from kelpjunction.store.mirror import LIVE_PREFIX, Mirror
 from kelpjunction.tickets.course import Course, End
 from kelpjunction.tickets.plan import Plan
 from kelpjunction.wire import users
@@ -97,7 +97,7 @@
             self.live[run] = Live(run, version, Course.parse(value))
 
     def plan(self, live: Live) -> Plan:
-        """What the run's steps are; raises `StoreDown`."""
+        """What the run's steps are; raises `StoreUnavailable`."""
         if (known := self._plans.get(live.run)) is not None:
             self._plans.move_to_end(live.run)
             return known
@@ -107,7 +107,7 @@
             parts = [self._store.get(part_key(token, number)) for number in range(count)]
             if None in parts:
                 # They go only after the run has ended.
-                raise StoreDown(f"{live.run} ended meanwhile")
+                raise StoreUnavailable(f"{live.run} ended meanwhile")
             text = "".join(part.value for part in parts)
         return self.keep_plan(live.run, unpack(text))
 
@@ -171,9 +171,9 @@
         What the failed one was guarded by is read again.  If it is applied
         late, it is so before anything else is written of the same tickets.
         """
-        for txn in merged(txns, self._store.limits):
+        for txn in pack_transactions(txns, self._store.limits):
             outcome = self._store.commit(txn.guards, txn.puts, txn.deletes, purpose=purpose)
-            if outcome.ending is not Ending.APPLIED:
+            if outcome.status is not CommitStatus.APPLIED:
                 for key in outcome.failed or txn.guards:
                     self._refresh(key)
                 return False
@@ -185,11 +185,11 @@
         for key, value in txn.puts.items():
             if key.startswith(ENDED_PREFIX):
                 log.info("ticket %s: %s", key.removeprefix(ENDED_PREFIX), value["end"])
-        for mirror, prefix in ((self._jobs, LIVE), (self._tickets, PREFIX)):
+        for mirror, prefix in ((self._jobs, LIVE_PREFIX), (self._tickets, PREFIX)):
             puts = {k: v for k, v in txn.puts.items() if k.startswith(prefix)}
             mirror.put_outcome(puts, [k for k in txn.deletes if k.startswith(prefix)], revision)
 
     def _refresh(self, key: str) -> None:
-        for mirror, prefix in ((self._jobs, LIVE), (self._tickets, PREFIX)):
+        for mirror, prefix in ((self._jobs, LIVE_PREFIX), (self._tickets, PREFIX)):
             if key.startswith(prefix):
                 mirror.refresh(key)
--- a/kelpjunction/tickets/steps.py
+++ b/kelpjunction/tickets/steps.py
@@ -1,7 +1,7 @@
 """What a run's next change is, from its course and its jobs' records: which steps ended, are sent, are stopped."""
 
 from kelpjunction.clock import ZERO, Clock
-from kelpjunction.jobs.book import END_PREFIX, JOB_PREFIX, Book, Job
+from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX, Job, JobIndex
 from kelpjunction.store.client import StoreClient, Transaction
 from kelpjunction.store.mirror import Mirror
 from kelpjunction.tickets.classes import TicketClass, TicketSettings
@@ -30,7 +30,7 @@
         store: StoreClient,
         jobs: Mirror,
         records: TicketRecords,
-        book: Book,
+        book: JobIndex,
         clock: Clock,
         transport: Transport,
     ) -> None:
@@ -45,12 +45,12 @@
         self._read_to: int | None = None
 
     def read_ends(self, wanted: set[str]) -> None:
-        """Learn in one request how jobs ended that did since the last time; raises `StoreDown`.
+        """Learn in one request how jobs ended that did since the last time; raises `StoreUnavailable`.
 
         Those that are missed are asked for one by one.
         """
         if self._read_to is not None:
-            found = self._store.follow(END_PREFIX, self._read_to, ZERO, self._transport)
+            found = self._store.watch(END_PREFIX, self._read_to, ZERO, self._transport)
             if found is not None:
                 refs = ((key.removeprefix(END_PREFIX), value) for key, value, _ in found[0] if value is not None)
                 self._ends = {ref: value["end"] for ref, value in refs if ref in wanted}
@@ -66,7 +66,7 @@
         return None if end is None else end.value["end"]
 
     def next(self, live: Live, course: Course | None = None) -> Transaction | None:
-        """The change to write, None if nothing is to be done; raises `StoreDown`.
+        """The change to write, None if nothing is to be done; raises `StoreUnavailable`.
 
         With `course`, the change begins with that: its user has asked for it.
         """
--- a/kelpjunction/tickets/users.py
+++ b/kelpjunction/tickets/users.py
@@ -7,7 +7,7 @@
 import orjson
 
 from kelpjunction.clock import seconds
-from kelpjunction.intake import Answer
+from kelpjunction.intake import UserResponse
 from kelpjunction.tickets import plan
 from kelpjunction.tickets.course import UNFINISHED, Course, End, Failure, StepState
 from kelpjunction.tickets.plan import Fault, Order, Plan, Refused
@@ -114,7 +114,7 @@
     return orjson.dumps({"ticket": run, "state": end.final.value, "steps": counts} | _failure(end.failure))
 
 
-def of_other_content(answer: Answer) -> Answer:
+def of_other_content(answer: UserResponse) -> UserResponse:
     """The same answer, which says that the ticket of this id came with another template or parameters."""
     return answer._replace(body=orjson.dumps(orjson.loads(answer.body) | {"same_content": False}))
 
--- a/kelpjunction/transport.py
+++ b/kelpjunction/transport.py
@@ -11,7 +11,7 @@
 from geventhttpclient.response import HTTPParseError
 
 
-class NoAnswer(Exception):
+class NoResponse(Exception):
     """No reply came; the request may have been carried out, now or later."""
 
 
@@ -45,7 +45,7 @@
 
     def request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
         if self._places is not None and not self._places.acquire(timeout=timeout.total_seconds()):
-            raise NoAnswer(f"{method} {address}{path}: too many requests under way")
+            raise NoResponse(f"{method} {address}{path}: too many requests under way")
         self._busy[address] += 1
         try:
             return self._request(address, method, path, body, timeout)
@@ -69,7 +69,7 @@
             # taken: the next one starts with a fresh pool.
             if self._clients.get(address) is client:
                 del self._clients[address]
-            raise NoAnswer(f"{method} {address}{path}: {error!r}") from error
+            raise NoResponse(f"{method} {address}{path}: {error!r}") from error
 
     def _let_go(self) -> None:
         """Close the connections that were idle for longest, while there are too many."""
--- a/kelpjunction/workers/answers.py
+++ b/kelpjunction/workers/answers.py
@@ -1,6 +1,6 @@
 """What a worker's message is worth, and what is said in answer to a report: pure decisions.
 
-Nothing here sends, writes or remembers; `Roster` carries out what is decided.  A worker in a later session has
+Nothing here sends, writes or remembers; `WorkerRegistry` carries out what is decided.  A worker in a later session has
 killed all that it had and accepts in that session whatever the answer to its report says, so an answer is put
 together for the session of the report that it answers, never for the one that the holder believes.
 Source: PROTOCOL, "Workers -> controller nodes", "Tokens" and "Leases".
@@ -11,56 +11,56 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from kelpjunction.jobs.book import Placement
+from kelpjunction.jobs.job_index import Placement
 from kelpjunction.wire.messages import Command, Report, TaskId, TaskReport, TaskState, Verb
-from kelpjunction.workers.contact import Evidence
+from kelpjunction.workers.reachability import Evidence
 
 
 class Refusal(Enum):
     """Why a report gets no 200: the value is its label in the metrics."""
 
     NOT_HELD = "block_not_held"
-    OVERTAKEN = "higher_token_seen"
-    OUT_OF_TOUCH = "no_news_of_state_service"
+    HIGHER_TOKEN_SEEN = "higher_token_seen"
+    STORE_NEWS_STALE = "no_news_of_state_service"
     UNREACHED = "worker_not_reached"
-    GIVEN_UP = "worker_waits_no_longer"
+    RESPONSE_TIMED_OUT = "worker_waits_no_longer"
     EARLIER_SESSION = "earlier_session"
     UNPROVED_SESSION = "unproved_session"
 
 
 @dataclass(frozen=True, slots=True)
-class Entitlement:
+class BlockAuthority:
     """What lets this node speak for a block."""
 
     token: int | None  # of its grant, if it holds the block
-    overtaken: bool  # a worker of the block has seen a higher token
-    in_touch: bool  # its news of the state service are recent enough to renew leases
+    higher_token_seen: bool  # a worker of the block has seen a higher token
+    can_renew_leases: bool  # its news of the state service are recent enough to renew leases
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class WorkerStatus:
     """What is known of a worker when its report has been taken in."""
 
     session: int  # the one believed: proved, or the first heard of
-    unreached: bool  # nothing that is sent to it is answered
+    presumed_unreachable: bool  # nothing that is sent to it is answered
     may_wait: bool  # whether the report's sender may still wait for the answer
 
 
-def refuse_block(entitlement: Entitlement) -> Refusal | None:
+def refuse_block(entitlement: BlockAuthority) -> Refusal | None:
     """Why this node answers no report of a block, if it must not."""
     if entitlement.token is None:
         return Refusal.NOT_HELD
-    if entitlement.overtaken:
-        return Refusal.OVERTAKEN
-    return None if entitlement.in_touch else Refusal.OUT_OF_TOUCH
+    if entitlement.higher_token_seen:
+        return Refusal.HIGHER_TOKEN_SEEN
+    return None if entitlement.can_renew_leases else Refusal.STORE_NEWS_STALE
 
 
-def refuse_report(report: Report, known: Known) -> Refusal | None:
+def refuse_report(report: Report, known: WorkerStatus) -> Refusal | None:
     """Why this report gets no 200, if it must not: each 200 may renew its worker's lease."""
-    if known.unreached:
+    if known.presumed_unreachable:
         return Refusal.UNREACHED  # it can't be told to stop anything
     if not known.may_wait:
-        return Refusal.GIVEN_UP  # a copy: its worker may find a node that reaches it
+        return Refusal.RESPONSE_TIMED_OUT  # a copy: its worker may find a node that reaches it
     if report.session < known.session:
         return Refusal.EARLIER_SESSION
     if report.session > known.session:
@@ -71,53 +71,55 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class ReportAssessment:
     """What a message changes of what is known."""
 
     believed: bool  # whether it counts at all
-    ask: bool = False  # whether the worker must be asked about what it says
+    needs_probe: bool = False  # whether the worker must be asked about what it says
     listed: list[tuple[Placement, TaskReport]] = field(default_factory=list)
-    foreign: list[TaskReport] = field(default_factory=list)  # not exited, and none of what stands there
+    unexpected: list[TaskReport] = field(default_factory=list)  # not exited, and none of what stands there
     ended: list[Placement] = field(default_factory=list)  # with the session they were written for
-    of_another_life: list[Placement] = field(default_factory=list)  # written for a session above the proved one
+    from_later_session: list[Placement] = field(default_factory=list)  # written for a session above the proved one
     missing: list[Placement] = field(default_factory=list)  # of this very session, and not listed
 
 
-def read(report: Report, evidence: Evidence, session: int, here: Mapping[TaskId, Placement]) -> Reading:
-    """Take a message for what it is worth; `session` is the one believed so far, `here` what stands on the machine.
+def assess_report(
+    report: Report, evidence: Evidence, session: int, placements: Mapping[TaskId, Placement]
+) -> ReportAssessment:
+    """Take a message for its worth; `session` is the one believed so far, `placements` what stands on the machine.
 
     Only an answer settles what it lacks: a copy from before the worker's process was started again may name a
     higher session, or the very next number.  Nor does a claim end what it lists, since the attempt may have
     been started again in the life since: its worker is being asked, and the answer lists the same exit.
     """
     if evidence is Evidence.STALE:
-        return Reading(believed=False)
+        return ReportAssessment(believed=False)
     if evidence is not Evidence.PROOF and session and report.session != session:
-        return Reading(believed=False, ask=True)
-    reading = Reading(believed=True)
+        return ReportAssessment(believed=False, needs_probe=True)
+    reading = ReportAssessment(believed=True)
     listed: set[Placement] = set()
     for told in report.tasks:
         exited = told.state is TaskState.EXITED
-        placement = here.get(told.task)
+        placement = placements.get(told.task)
         if is_written_for(placement, report.session, told.attempt):
             listed.add(placement)
             if exited and evidence is Evidence.CLAIM:
-                reading.ask = True
+                reading.needs_probe = True
             else:
                 reading.listed.append((placement, told))
         elif not exited:
-            reading.foreign.append(told)
-    unlisted = [placement for placement in here.values() if placement not in listed]
+            reading.unexpected.append(told)
+    unlisted = [placement for placement in placements.values() if placement not in listed]
     if evidence is not Evidence.PROOF:
         # What was there may have ended, and what was written for another session can neither start nor settle
         # before the worker has answered: who was asked once may have had its answer overtaken.
-        reading.ask |= any(p.seen or not p.live or p.session != report.session for p in unlisted)
+        reading.needs_probe |= any(p.was_reported or not p.is_active or p.session != report.session for p in unlisted)
         return reading
     for placement in unlisted:
         if placement.session < report.session:
             reading.ended.append(placement)
         elif placement.session > report.session:
-            reading.of_another_life.append(placement)
+            reading.from_later_session.append(placement)
         else:
             reading.missing.append(placement)
     return reading
@@ -129,43 +131,43 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ReportResponse:
     """What a worker is told in answer to its report, in order, and the placements that it is told to start."""
 
     commands: list[Command] = field(default_factory=list)
     starts: list[Placement] = field(default_factory=list)
 
 
-def answer(
+def build_response(
     session: int,
     tasks: Iterable[TaskReport],
-    here: Mapping[TaskId, Placement],
-    sending: Counter[tuple[TaskId, int]],
-    no_start_under_way: bool,
-) -> Answer:
+    placements: Mapping[TaskId, Placement],
+    unanswered_commands: Counter[tuple[TaskId, int]],
+    no_start_in_flight: bool,
+) -> ReportResponse:
     """What a worker in this session must be told, from what it has and what it should have.
 
-    `sending` counts commands without an answer yet, by attempt; `no_start_under_way` says that no command of an
-    earlier holder or of a lost exchange can reach it any more under the token of this answer.
+    `unanswered_commands` counts commands without an answer yet, by attempt; `no_start_in_flight` says that no command
+    of an earlier holder or of a lost exchange can reach it any more under the token of this answer.
     """
-    found = Answer()
+    found = ReportResponse()
     reported: set[tuple[TaskId, int]] = set()
     for told in tasks:
         reported.add((told.task, told.attempt))
-        placement = here.get(told.task)
+        placement = placements.get(told.task)
         ours = is_written_for(placement, session, told.attempt)
         if told.state is TaskState.EXITED:
             # Forget only once the result is stored, and only when no earlier start command can arrive and
             # start it again: one that was sent a moment ago and held up is no doubt yet.
-            if not ours and no_start_under_way and not sending[told.task, told.attempt]:
+            if not ours and no_start_in_flight and not unanswered_commands[told.task, told.attempt]:
                 found.commands.append(Command(Verb.FORGET, told.task, told.attempt))
         elif not ours:
             found.commands.append(Command(Verb.STOP, told.task, told.attempt))
-        elif not placement.live:
+        elif not placement.is_active:
             found.commands.append(Command(Verb.STOP, told.task, told.attempt, placement.grace))
-    for placement in here.values():
+    for placement in placements.values():
         absent = (placement.task, placement.attempt) not in reported
-        if absent and placement.live and placement.session == session and not placement.seen:
+        if absent and placement.is_active and placement.session == session and not placement.was_reported:
             found.starts.append(placement)
             found.commands.append(Command(Verb.START, placement.task, placement.attempt))
     return found
--- a/kelpjunction/workers/decisions.py
+++ b/kelpjunction/workers/decisions.py
@@ -2,11 +2,10 @@
 
 from collections import Counter, OrderedDict
 
-from kelpjunction.jobs.book import Book, Placement
+from kelpjunction.jobs.job_index import JobIndex, Placement
 from kelpjunction.recorder import Recorder
 from kelpjunction.wire.messages import Cause, Report, TaskId, TaskReport
 from kelpjunction.workers.answers import Refusal
-from kelpjunction.workers.contact import Evidence, Number
 from kelpjunction.workers.events import (
     Ground,
     Impossible,
@@ -20,37 +19,38 @@
     Way,
     concerns,
 )
+from kelpjunction.workers.reachability import Evidence, MessageNumber
 
-REMEMBERED = 1024  # attempts that were settled here
+MAX_SETTLED_ATTEMPTS = 1024  # attempts that were settled here
 
 
 class DecisionLog:
-    """Counts and keeps what `Roster` decides, and notices what can't be."""
+    """Counts and keeps what `WorkerRegistry` decides, and notices what can't be."""
 
-    def __init__(self, recorder: Recorder, book: Book) -> None:
+    def __init__(self, recorder: Recorder, job_index: JobIndex) -> None:
         self._recorder = recorder
-        self._book = book
+        self._job_index = job_index
         self.causes: Counter[Cause] = Counter()  # of settled placements
         self.grounds: Counter[Ground] = Counter()
         self.ways: Counter[Way] = Counter()  # in which starts were said
         self.refusals: Counter[Refusal] = Counter()  # of reports that got no 200
         # Attempts that were settled here lately, and their blocks: none of them can be on its machine again.
-        self._over: OrderedDict[tuple[TaskId, int, str], str] = OrderedDict()
+        self._settled_attempts: OrderedDict[tuple[TaskId, int, str], str] = OrderedDict()
 
     def clear(self, zone: str) -> None:
         """The block came or went: what was settled of it and not written may be started again."""
-        for attempt in [a for a, its_zone in self._over.items() if its_zone == zone]:
-            del self._over[attempt]
+        for attempt in [a for a, its_zone in self._settled_attempts.items() if its_zone == zone]:
+            del self._settled_attempts[attempt]
 
     def refused(self, report: Report, believed: int, refusal: Refusal) -> None:
         """A report got no 200; `believed` is its worker's session as known, 0 if it is not."""
         self.refusals[refusal] += 1
-        self._recorder.note(ReportRefused(report.machine, report.session, report.sequence, believed, refusal))
+        self._recorder.record(ReportRefused(report.machine, report.session, report.sequence, believed, refusal))
 
     def believed(self, report: Report, before: int, evidence: Evidence, uncertain_token: int) -> None:
         """A worker's session is another than was believed `before` (0: it was not known)."""
         event = SessionChanged if before else SessionBelieved
-        self._recorder.note(
+        self._recorder.record(
             event(report.machine, before, report.session, report.sequence, evidence, report.token, uncertain_token)
         )
 
@@ -58,32 +58,37 @@
         """A start was said under a token; `sequence` is as `StartSaid` has it."""
         self.ways[way] += 1
         attempt = placement.task, placement.attempt, placement.machine, placement.session
-        self._recorder.note(StartSaid(*attempt, token, self._book.record_version(placement.task), way, sequence))
+        self._recorder.record(StartSaid(*attempt, token, self._job_index.record_version(placement.task), way, sequence))
 
     def stopped(self, placement: Placement) -> None:
         """A placement is to be stopped, for its `reason` and with its `grace`."""
         attempt = placement.task, placement.attempt, placement.machine
-        self._recorder.note(StopDecided(*attempt, placement.grace.total_seconds(), placement.reason))
+        self._recorder.record(StopDecided(*attempt, placement.grace.total_seconds(), placement.reason))
 
-    def settled(self, placement: Placement, ground: Ground, newest: Number) -> None:
+    def settled(self, placement: Placement, ground: Ground, newest: MessageNumber) -> None:
         """A placement is off its machine; `newest` is the newest message known of its worker."""
         self.causes[placement.cause] += 1
         self.grounds[ground] += 1
-        self._over[placement.task, placement.attempt, placement.machine] = placement.zone
-        if len(self._over) > REMEMBERED:
-            self._over.popitem(last=False)
+        self._settled_attempts[placement.task, placement.attempt, placement.machine] = placement.zone
+        if len(self._settled_attempts) > MAX_SETTLED_ATTEMPTS:
+            self._settled_attempts.popitem(last=False)
         event = Settled if placement.cause in (Cause.DONE, Cause.STOPPED) else SettledAbnormally
         attempt = placement.task, placement.attempt, placement.machine, placement.session
-        self._recorder.note(event(*attempt, placement.cause, ground, *newest))
+        self._recorder.record(event(*attempt, placement.cause, ground, *newest))
 
-    def check_possible(self, report: Report, told: TaskReport) -> None:
+    def check_possible(self, report: Report, task_report: TaskReport) -> None:
         """Write out what led to it if a worker proves that it has what is surely off it, or what is elsewhere too."""
-        elsewhere = self._book.placement(told.task)
-        if (told.task, told.attempt, report.machine) in self._over:
+        elsewhere = self._job_index.placement(task_report.task)
+        if (task_report.task, task_report.attempt, report.machine) in self._settled_attempts:
             finding = "it was settled before"
-        elif elsewhere is not None and elsewhere.attempt > told.attempt and elsewhere.seen and elsewhere.live:
+        elif (
+            elsewhere is not None
+            and elsewhere.attempt > task_report.attempt
+            and elsewhere.was_reported
+            and elsewhere.is_active
+        ):
             finding = f"attempt {elsewhere.attempt} is on {elsewhere.machine}"
         else:
             return  # settled by another, or a later attempt: of a record that this node has not read yet
-        event = Impossible(told.task, told.attempt, report.machine, report.session, finding)
-        self._recorder.contradiction(event, concerns(told.task, report.machine))
+        event = Impossible(task_report.task, task_report.attempt, report.machine, report.session, finding)
+        self._recorder.contradiction(event, concerns(task_report.task, report.machine))
--- a/kelpjunction/workers/events.py
+++ b/kelpjunction/workers/events.py
@@ -8,7 +8,7 @@
 from kelpjunction.recorder import Event
 from kelpjunction.wire.messages import Cause, TaskId
 from kelpjunction.workers.answers import Refusal
-from kelpjunction.workers.contact import Evidence
+from kelpjunction.workers.reachability import Evidence
 
 
 class Way(Enum):
@@ -23,7 +23,7 @@
 
     REPORTED_EXIT = "reported_exit"
     SESSION_ENDED = "session_ended"
-    ANOTHER_LIFE = "process_restarted"
+    PROCESS_RESTARTED = "process_restarted"
     ABSENT = "not_listed"
     LEASE_ENDED = "lease_ended"
     MACHINE_GONE = "machine_gone"
--- a/kelpjunction/workers/contact.py
+++ b/kelpjunction/workers/reachability.py
@@ -14,15 +14,15 @@
 
 from kelpjunction.clock import seconds
 
-PATIENCE = seconds(4.5)  # a worker drops what answers a report after 4 s
+REPORT_RESPONSE_TIMEOUT = seconds(4.5)  # a worker drops what answers a report after 4 s
 UNREACHABLE_AFTER = 2  # requests in turn without an answer, and no other proof between them
-PROOFS = 2  # that an unreachable worker must give, a report's time apart, before it counts again
+PROOFS_TO_RECOVER = 2  # that an unreachable worker must give, a report's time apart, before it counts again
 
-Number = tuple[int, int]  # session and sequence: the larger one is the newer message
+MessageNumber = tuple[int, int]  # session and sequence: the larger one is the newer message
 
 
 class Reachability(Enum):
-    """UNKNOWN -> REACHABLE <-> UNREACHABLE; `Contact._stand` makes every change."""
+    """UNKNOWN -> REACHABLE <-> UNREACHABLE; `ReachabilityTracker._set_reachability` makes every change."""
 
     UNKNOWN = "unknown"  # heard of, by what may be a copy; nothing has reached it from here yet
     REACHABLE = "reachable"
@@ -39,25 +39,25 @@
 
 
 @dataclass(slots=True)
-class Contact:
+class ReachabilityTracker:
     """A worker's numbers, and whether it is reached."""
 
-    report: timedelta  # how often workers report
+    report_interval: timedelta  # how often workers report
     reachability: Reachability = Reachability.UNKNOWN
-    newest: Number = (0, 0)
+    newest: MessageNumber = (0, 0)
     # The messages of the last moments, and one before: by number, when they came.
-    lately: deque[tuple[Number, timedelta]] = field(default_factory=deque)
+    recent_messages: deque[tuple[MessageNumber, timedelta]] = field(default_factory=deque)
     proved_at: timedelta | None = None  # the last round trip
     failures: int = 0  # requests in turn without an answer
     proofs: int = 0  # since it was unreachable
-    restarted: bool = False  # its numbers began anew: copies of its life before may be larger
+    numbering_restarted: bool = False  # its numbers began anew: copies of its life before may be larger
 
-    def heard(self, number: Number, now: timedelta) -> Evidence:
+    def on_report(self, number: MessageNumber, now: timedelta) -> Evidence:
         """A report came.
 
         Of a worker that began anew none counts: what it answers when it is asked does.
         """
-        if self.restarted or number <= self.newest:
+        if self.numbering_restarted or number <= self.newest:
             return Evidence.STALE
         # Directly behind a message that we answered, or that answered us.
         follows = self.newest == (number[0], number[1] - 1) and self.reachability is Reachability.REACHABLE
@@ -67,69 +67,71 @@
         self._prove(now)
         return Evidence.SUCCESSOR
 
-    def replied(self, number: Number, asked: Number, now: timedelta) -> tuple[Evidence, bool]:
-        """An answer to a request of ours came; `asked` is what was the newest when that was sent.
+    def on_response(
+        self, number: MessageNumber, newest_when_sent: MessageNumber, now: timedelta
+    ) -> tuple[Evidence, bool]:
+        """An answer to a request of ours came; `newest_when_sent` is what was the newest when that was sent.
 
         Returns its worth, and whether the worker began anew: what it says to a
         request is newer than all we knew before, so if its number is not, it counts from the beginning.
         """
-        began_anew = number < asked
+        began_anew = number < newest_when_sent
         if not began_anew and number <= self.newest:
             # Others overtook it; that it came proves as much all the same.
             self._prove(now)
             return Evidence.STALE, False
-        self.restarted = self.restarted or began_anew
+        self.numbering_restarted = self.numbering_restarted or began_anew
         if began_anew:
-            self.lately.clear()
+            self.recent_messages.clear()
         self._note(number, now)
         self._prove(now)
         return Evidence.PROOF, began_anew
 
-    def unanswered(self) -> None:
+    def on_no_response(self) -> None:
         """A request of ours got no answer."""
         self.failures += 1
         self.proofs = 0
         if self.failures >= UNREACHABLE_AFTER:
-            self._stand(Reachability.UNREACHABLE)
+            self._set_reachability(Reachability.UNREACHABLE)
 
     def _prove(self, now: timedelta) -> None:
         if self.reachability is Reachability.UNREACHABLE:
-            if self.proofs and now - self.proved_at < self.report:
+            if self.proofs and now - self.proved_at < self.report_interval:
                 return  # too soon behind the first to say more than that did
             self.proofs += 1
         self.proved_at, self.failures = now, 0
-        if self.reachability is not Reachability.UNREACHABLE or self.proofs >= PROOFS:
-            self._stand(Reachability.REACHABLE)
+        if self.reachability is not Reachability.UNREACHABLE or self.proofs >= PROOFS_TO_RECOVER:
+            self._set_reachability(Reachability.REACHABLE)
 
-    def _stand(self, reachability: Reachability) -> None:
+    def _set_reachability(self, reachability: Reachability) -> None:
         """The one place where `reachability` changes."""
         if reachability is not self.reachability:
             self.reachability, self.proofs = reachability, 0
 
-    def wants_asking(self, now: timedelta) -> bool:
+    def needs_probe(self, now: timedelta) -> bool:
         """Whether nothing shows at this moment that it is reached."""
         return self.proved_at != now
 
     @property
-    def lost(self) -> bool:
+    def presumed_unreachable(self) -> bool:
         """Whether nothing reaches it: who has answered once is not given up again at once."""
         return self.reachability is Reachability.UNREACHABLE and not self.proofs
 
-    def may_wait(self, number: Number, now: timedelta) -> bool:
+    def may_wait(self, number: MessageNumber, now: timedelta) -> bool:
         """Whether the sender of this report may still wait for its answer, which would then renew its lease.
 
         Not if a later message was known before that: it has given this one up.
         """
         self._drop_old(now)
-        then, at = self.lately[0] if self.lately else (number, now)
-        return number >= then or now - at < PATIENCE
+        then, at = self.recent_messages[0] if self.recent_messages else (number, now)
+        return number >= then or now - at < REPORT_RESPONSE_TIMEOUT
 
-    def _note(self, number: Number, now: timedelta) -> None:
+    def _note(self, number: MessageNumber, now: timedelta) -> None:
         self.newest = number
-        self.lately.append((number, now))
+        self.recent_messages.append((number, now))
         self._drop_old(now)
 
     def _drop_old(self, now: timedelta) -> None:
         """Keep the latest message that is older than anybody waits, and those behind it."""
-        while len(self.lately) > 1 and now - self.lately[1][1] >= PATIENCE:
-            self.lately.popleft()
+        while len(self.recent_messages) > 1 and now - self.recent_messages[1][1] >= REPORT_RESPONSE_TIMEOUT:
+            self.recent_messages.popleft()
--- a/kelpjunction/workers/roster.py
+++ b/kelpjunction/workers/registry.py
@@ -7,26 +7,39 @@
 from datetime import timedelta
 
 from kelpjunction.blocks import Blocks
-from kelpjunction.changes import Changes
+from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import ZERO, Clock, seconds
-from kelpjunction.jobs.book import Book, Phase, Placement
+from kelpjunction.jobs.job_index import JobIndex, Phase, Placement
 from kelpjunction.leadership import Leadership
 from kelpjunction.recorder import Recorder
 from kelpjunction.renewal import DRIFT
 from kelpjunction.settings import WorkerTimes
-from kelpjunction.transport import NoAnswer, Transport
+from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire import workers as wire
 from kelpjunction.wire.messages import Cause, Command, Report, TaskId, TaskReport, TaskState, Verb
 from kelpjunction.wire.users import Malformed
-from kelpjunction.workers.answers import Entitlement, Known, answer, read, refuse_block, refuse_report
-from kelpjunction.workers.contact import PATIENCE, Contact, Evidence, Number, Reachability
+from kelpjunction.workers.answers import (
+    BlockAuthority,
+    WorkerStatus,
+    assess_report,
+    build_response,
+    refuse_block,
+    refuse_report,
+)
 from kelpjunction.workers.decisions import DecisionLog
 from kelpjunction.workers.events import Ground, Way
+from kelpjunction.workers.reachability import (
+    REPORT_RESPONSE_TIMEOUT,
+    Evidence,
+    MessageNumber,
+    Reachability,
+    ReachabilityTracker,
+)
 
 log = logging.getLogger("workers")
 
 DIRECT_TIMEOUT = timedelta(seconds=2)
-VISIT_TIMEOUT = timedelta(seconds=1)
+PROBE_TIMEOUT = timedelta(seconds=1)
 _PHASE_OF = {
     TaskState.FETCHING: Phase.FETCHING,
     TaskState.WAITING: Phase.WAITING,
@@ -42,42 +55,44 @@
     machine: str
     address: str
     zone: str
-    contact: Contact
+    reachability_tracker: ReachabilityTracker
     session: int = 0
     token: int = 0
-    heard_at: timedelta = ZERO
-    answered_at: timedelta | None = None  # when its lease was last renewed, at the latest
-    notice_at: timedelta | None = None  # when the cloud takes the machine, as announced
+    last_report_at: timedelta = ZERO
+    lease_renewed_at: timedelta | None = None  # when its lease was last renewed, at the latest
+    reclaim_at: timedelta | None = None  # when the cloud takes the machine, as announced
     uncertain_token: int = 0  # commands under tokens up to this one may still arrive
-    sending: Counter[tuple[TaskId, int]] = field(default_factory=Counter)  # attempts of commands without an answer yet
+    unanswered_commands: Counter[tuple[TaskId, int]] = field(
+        default_factory=Counter
+    )  # attempts of commands without an answer yet
     tasks: dict[TaskId, list[TaskReport]] = field(default_factory=dict)
     images: dict[str, float] = field(default_factory=dict)  # most recently used last
 
-    def told(self) -> Iterator[TaskReport]:
+    def reported_tasks(self) -> Iterator[TaskReport]:
         """What it has, by its newest message."""
         for attempts in self.tasks.values():
             yield from attempts
 
 
-class Roster:
+class WorkerRegistry:
     """All workers, and every dealing with them."""
 
     def __init__(
         self,
         times: WorkerTimes,
-        book: Book,
+        job_index: JobIndex,
         blocks: Blocks,
         leadership: Leadership,
         transport: Transport,
         clock: Clock,
         spawn: Callable,
         wake: Callable[[], None],
-        changes: Changes,
+        changes: ChangeTracker,
         recorder: Recorder,
     ) -> None:
-        self.decisions = DecisionLog(recorder, book)
+        self.decisions = DecisionLog(recorder, job_index)
         self._times = times
-        self._book = book
+        self._job_index = job_index
         self._blocks = blocks
         self._leadership = leadership
         self._transport = transport
@@ -87,12 +102,12 @@
         self._changes = changes
         self.workers: dict[str, Worker] = {}
         self.starts = self.stops = 0  # sent straight to workers since this process began
-        self.zones_to_raise: set[str] = set()
+        self.zones_needing_new_token: set[str] = set()
         # Blocks of which a worker has seen a higher token than the one here:
         # they are another's, though no news of it has come in.  All their
         # workers are sent away, so that they find that one in time.
-        self._overtaken: dict[str, int] = {}
-        self._asking: set[str] = set()  # machines that are being asked how they stand
+        self._higher_token_seen: dict[str, int] = {}
+        self._probes_in_flight: set[str] = set()  # machines that are being asked how they stand
         self.on_seen: Callable[[Report], None] = lambda report: None
         self.images_of: Callable[[str], list[str]] = lambda machine: []
         self.is_gone: Callable[[str], bool] = lambda machine: False  # whether the cloud confirmed its return
@@ -102,18 +117,18 @@
         """A block came or went: what was known of its workers before does not count."""
         for machine in [n for n, w in self.workers.items() if w.zone == zone]:
             self._drop(machine)
-        self.zones_to_raise.discard(zone)
+        self.zones_needing_new_token.discard(zone)
         self.decisions.clear(zone)
 
     # -- check-ins ----------------------------------------------------------
 
     def check_in(self, report: Report) -> tuple[int, bytes]:
         """Answer a worker's report: status and body."""
-        token = self._blocks.token(report.zone)
+        token = self._blocks.own_token(report.zone)
         if token is not None and report.token > token and not self._is_overtaken(report.zone):
-            self._overtaken[report.zone] = token
+            self._higher_token_seen[report.zone] = token
             self._blocks.note_overtaken(report.zone)
-        entitlement = Entitlement(token, self._is_overtaken(report.zone), self._leadership.in_touch())
+        entitlement = BlockAuthority(token, self._is_overtaken(report.zone), self._leadership.can_renew_leases())
         refusal = refuse_block(entitlement)
         if refusal is not None:
             self.decisions.refused(report, 0, refusal)
@@ -121,33 +136,39 @@
         now = self._clock.steady()
         number = (report.session, report.sequence)
         worker = self._worker(report)
-        evidence = worker.contact.heard(number, now)
-        ask = self._take(worker, report, evidence, now)
-        may_wait = worker.contact.may_wait(number, now)
-        if (ask or worker.contact.wants_asking(now)) and may_wait:
-            self._spawn(self.visit, worker.machine, worker.address)
-        refusal = refuse_report(report, Known(worker.session, worker.contact.lost, may_wait))
+        evidence = worker.reachability_tracker.on_report(number, now)
+        ask = self._apply_report(worker, report, evidence, now)
+        may_wait = worker.reachability_tracker.may_wait(number, now)
+        if (ask or worker.reachability_tracker.needs_probe(now)) and may_wait:
+            self._spawn(self.probe, worker.machine, worker.address)
+        refusal = refuse_report(
+            report, WorkerStatus(worker.session, worker.reachability_tracker.presumed_unreachable, may_wait)
+        )
         if refusal is not None:
             self.decisions.refused(report, worker.session, refusal)
             return 503, b"{}"
-        worker.answered_at = now
-        told = answer(
-            report.session, worker.told(), self._book.on(worker.machine), worker.sending, token > worker.uncertain_token
+        worker.lease_renewed_at = now
+        told = build_response(
+            report.session,
+            worker.reported_tasks(),
+            self._job_index.placements_on(worker.machine),
+            worker.unanswered_commands,
+            token > worker.uncertain_token,
         )
         for placement in told.starts:
             placement.advance(Phase.STARTED, now)
-            placement.told_at = now
+            placement.start_sent_at = now
             self.decisions.started(placement, token, Way.ANSWER, report.sequence)
         return 200, wire.check_in_answer(token, told.commands)
 
     def _is_overtaken(self, zone: str) -> bool:
-        token = self._blocks.token(zone)
-        return token is not None and self._overtaken.get(zone) == token
+        token = self._blocks.own_token(zone)
+        return token is not None and self._higher_token_seen.get(zone) == token
 
     @property
-    def overtaken(self) -> bool:
+    def higher_token_seen(self) -> bool:
         """Whether a worker proves that others have been granted a block of this node's: they hear the state service."""
-        return any(map(self._is_overtaken, self._blocks.my_zones()))
+        return any(map(self._is_overtaken, self._blocks.held_zones()))
 
     def _worker(self, report: Report) -> Worker:
         """The worker that a message tells of, known from now on if it was not."""
@@ -155,79 +176,79 @@
         if worker is None:
             # Commands of earlier holders may still be under way, under any
             # token below ours.
-            worker = Worker(report.machine, report.address, report.zone, Contact(self._times.report))
-            worker.uncertain_token = (self._blocks.token(report.zone) or 1) - 1
+            worker = Worker(report.machine, report.address, report.zone, ReachabilityTracker(self._times.report))
+            worker.uncertain_token = (self._blocks.own_token(report.zone) or 1) - 1
             worker.images = dict.fromkeys(self.images_of(report.machine), 0.0)
             self.workers[report.machine] = worker
-            self._changes.note(report.machine)
+            self._changes.mark_changed(report.machine)
         return worker
 
-    def _take(self, worker: Worker, report: Report, evidence: Evidence, now: timedelta) -> bool:
+    def _apply_report(self, worker: Worker, report: Report, evidence: Evidence, now: timedelta) -> bool:
         """Take in a message for what it is worth; whether the worker should be asked about what it said."""
-        reading = read(report, evidence, worker.session, self._book.on(worker.machine))
+        reading = assess_report(report, evidence, worker.session, self._job_index.placements_on(worker.machine))
         if not reading.believed:
-            return reading.ask
+            return reading.needs_probe
         new_session = report.session != worker.session
         if new_session:
             self.decisions.believed(report, worker.session, evidence, worker.uncertain_token)
         worker.session = report.session
-        ours = self._blocks.token(worker.zone) or 0
+        ours = self._blocks.own_token(worker.zone) or 0
         if new_session or worker.token < ours <= report.token:
             # A new session's lease runs from its beginning, not from what was
             # reckoned for the one before; and until the worker saw our token,
             # an earlier holder may have renewed its lease up to this moment.
-            worker.answered_at = now
+            worker.lease_renewed_at = now
         worker.token = max(worker.token, report.token)
-        worker.heard_at, worker.address = now, report.address
-        worker.notice_at = None if report.notice is None else now + report.notice
+        worker.last_report_at, worker.address = now, report.address
+        worker.reclaim_at = None if report.notice is None else now + report.notice
         worker.tasks = {}
         for told in report.tasks:
             worker.tasks.setdefault(told.task, []).append(told)
-        if worker.contact.reachability is Reachability.REACHABLE:
+        if worker.reachability_tracker.reachability is Reachability.REACHABLE:
             self.on_seen(report)
         for placement, told in reading.listed:
-            self._hear(worker, placement, told, now)
+            self._on_listed(worker, placement, told, now)
         for placement in reading.ended:
             # The worker killed everything of that session when it ended.
             self.settle(placement, Cause.LOST, Ground.SESSION_ENDED, now)
-        for placement in reading.of_another_life:
-            self._hear_of_another_life(worker, placement, now)
+        for placement in reading.from_later_session:
+            self._on_process_restart(worker, placement, now)
         for placement in reading.missing:
-            self._hear_nothing(worker, placement, now)
+            self._on_unlisted(worker, placement, now)
         if evidence is Evidence.PROOF:
-            for told in reading.foreign:
+            for told in reading.unexpected:
                 self.decisions.check_possible(report, told)
         if new_session:
             self._wake()
-        return reading.ask
+        return reading.needs_probe
 
-    def _hear_of_another_life(self, worker: Worker, placement: Placement, now: timedelta) -> None:
+    def _on_process_restart(self, worker: Worker, placement: Placement, now: timedelta) -> None:
         """The worker proved a lower session than the placement's: its process was started again meanwhile.
 
         Nothing of before is there any more; but it will come to that session
         again, and must not find a start for it then that is still under way.
         """
-        if self._nothing_under_way(worker):
-            self.settle(placement, Cause.LOST, Ground.ANOTHER_LIFE, now)
+        if self._no_command_in_flight(worker):
+            self.settle(placement, Cause.LOST, Ground.PROCESS_RESTARTED, now)
 
-    def _nothing_under_way(self, worker: Worker) -> bool:
+    def _no_command_in_flight(self, worker: Worker) -> bool:
         """Whether no command of before can reach the worker any more; if it can for ever, a higher token ends that."""
-        if worker.uncertain_token >= (self._blocks.token(worker.zone) or 0):
-            self.zones_to_raise.add(worker.zone)
+        if worker.uncertain_token >= (self._blocks.own_token(worker.zone) or 0):
+            self.zones_needing_new_token.add(worker.zone)
         return worker.token > worker.uncertain_token
 
-    def _begin_anew(self, worker: Worker, report: Report) -> None:
+    def _on_numbering_restart(self, worker: Worker, report: Report) -> None:
         """The worker's process was started again: all it had is gone, and starts sent to it before may still arrive."""
         log.info("worker %s counts from the beginning again", worker.machine)
         worker.token = report.token
-        worker.uncertain_token = max(worker.uncertain_token, self._blocks.token(worker.zone) or 0)
+        worker.uncertain_token = max(worker.uncertain_token, self._blocks.own_token(worker.zone) or 0)
 
-    def _hear(self, worker: Worker, placement: Placement, told: TaskReport, now: timedelta) -> None:
-        placement.seen = True
-        if told.state is TaskState.EXITED:
-            self.settle(placement, told.cause, Ground.REPORTED_EXIT, now, told.saved)
+    def _on_listed(self, worker: Worker, placement: Placement, task_report: TaskReport, now: timedelta) -> None:
+        placement.was_reported = True
+        if task_report.state is TaskState.EXITED:
+            self.settle(placement, task_report.cause, Ground.REPORTED_EXIT, now, task_report.saved)
             return
-        phase = _PHASE_OF[told.state]
+        phase = _PHASE_OF[task_report.state]
         if phase is not Phase.FETCHING:
             self._use_image(worker, placement)
         if phase is Phase.RUNNING and placement.phase not in (Phase.RUNNING, Phase.STOPPING):
@@ -239,9 +260,9 @@
         if next(reversed(worker.images), None) != image or not worker.images[image]:
             worker.images.pop(image, None)
             worker.images[image] = placement.spec.image_gb
-            self._changes.note(worker.machine)
+            self._changes.mark_changed(worker.machine)
 
-    def _hear_nothing(self, worker: Worker, placement: Placement, now: timedelta) -> None:
+    def _on_unlisted(self, worker: Worker, placement: Placement, now: timedelta) -> None:
         """A check-in of this very session does not list the placement.
 
         That settles it only if no start command can still be on its way: one
@@ -250,11 +271,15 @@
         """
         # Nor does an answer to a question settle it while the answer to a
         # report, which says to start it, may still come: the two overtake each other.
-        gone = (placement.seen or not placement.live) and (
-            placement.told_at is None or now - placement.told_at >= PATIENCE
+        gone = (placement.was_reported or not placement.is_active) and (
+            placement.start_sent_at is None or now - placement.start_sent_at >= REPORT_RESPONSE_TIMEOUT
         )
-        if gone and not worker.sending[placement.task, placement.attempt] and self._nothing_under_way(worker):
-            cause = Cause.LOST if placement.live else Cause.STOPPED
+        if (
+            gone
+            and not worker.unanswered_commands[placement.task, placement.attempt]
+            and self._no_command_in_flight(worker)
+        ):
+            cause = Cause.LOST if placement.is_active else Cause.STOPPED
             self.settle(placement, cause, Ground.ABSENT, now)
 
     def settle(self, placement: Placement, cause: Cause, ground: Ground, now: timedelta, saved: bool = False) -> None:
@@ -263,9 +288,9 @@
             return
         placement.cause, placement.saved = cause, saved
         placement.advance(Phase.SETTLED, now)
-        self._book.settled[placement.task] = placement
+        self._job_index.settled[placement.task] = placement
         worker = self.workers.get(placement.machine)
-        self.decisions.settled(placement, ground, worker.contact.newest if worker else (0, 0))
+        self.decisions.settled(placement, ground, worker.reachability_tracker.newest if worker else (0, 0))
         self.on_exit(placement)
         self._wake()
 
@@ -273,14 +298,14 @@
 
     def stop(self, placement: Placement, grace: timedelta, reason: str) -> None:
         """Decide to stop a placement, or to let it save no longer; `send` or the next check-in tells the worker."""
-        if not placement.live and grace >= placement.grace:
+        if not placement.is_active and grace >= placement.grace:
             return
         placement.grace, placement.reason = grace, reason
         placement.advance(Phase.STOPPING, self._clock.steady())
         self.decisions.stopped(placement)
 
     def command_of(self, placement: Placement) -> Command:
-        if placement.live:
+        if placement.is_active:
             return Command(Verb.START, placement.task, placement.attempt)
         return Command(Verb.STOP, placement.task, placement.attempt, placement.grace)
 
@@ -292,16 +317,16 @@
             groups.setdefault((placement.machine, placement.session), []).append(placement)
         for (machine, _), group in groups.items():
             worker = self.workers.get(machine)
-            token = self._blocks.token(worker.zone) if worker else None
-            if token is None or self._is_overtaken(worker.zone) or not self._leadership.in_touch():
+            token = self._blocks.own_token(worker.zone) if worker else None
+            if token is None or self._is_overtaken(worker.zone) or not self._leadership.can_renew_leases():
                 continue
             now = self._clock.steady()
-            worker.sending.update((p.task, p.attempt) for p in group)
+            worker.unanswered_commands.update((p.task, p.attempt) for p in group)
             for placement in group:
-                if placement.live:
+                if placement.is_active:
                     self.starts += 1
                     placement.advance(Phase.STARTED, now)
-                    self.decisions.started(placement, token, Way.DIRECT, worker.contact.newest[1])
+                    self.decisions.started(placement, token, Way.DIRECT, worker.reachability_tracker.newest[1])
                 else:
                     self.stops += 1
             self._spawn(self._send, worker, token, group)
@@ -313,11 +338,11 @@
         try:
             answered = self._post(worker, token, group[0].session, commands)
         finally:
-            worker.sending.subtract((p.task, p.attempt) for p in group)
-            worker.sending = +worker.sending
+            worker.unanswered_commands.subtract((p.task, p.attempt) for p in group)
+            worker.unanswered_commands = +worker.unanswered_commands
             if not answered:
                 worker.uncertain_token = max(worker.uncertain_token, token)
-                self.zones_to_raise.add(worker.zone)
+                self.zones_needing_new_token.add(worker.zone)
 
     def _post(self, worker: Worker, token: int, session: int, commands: list[Command]) -> bool:
         body = wire.commands_body(token, session, commands)
@@ -326,38 +351,38 @@
     def show_token(self, machine: str) -> None:
         """Show a worker this node's token: whoever had its block before learns of it from its reports."""
         worker = self.workers.get(machine)
-        token = self._blocks.token(worker.zone) if worker else None
+        token = self._blocks.own_token(worker.zone) if worker else None
         if token is not None and worker.token < token:
             self._post(worker, token, worker.session, [])
 
-    def visit(self, machine: str, address: str) -> bool | None:
+    def probe(self, machine: str, address: str) -> bool | None:
         """Ask a machine's worker how it stands, without waiting for its report.
 
         Whether it answered; None if it is being asked already, which is no answer yet.
         """
-        if machine in self._asking:
+        if machine in self._probes_in_flight:
             return None
-        self._asking.add(machine)
+        self._probes_in_flight.add(machine)
         try:
-            return self._request(machine, address, "GET", wire.STATUS_PATH, None, VISIT_TIMEOUT)
+            return self._request(machine, address, "GET", wire.STATUS_PATH, None, PROBE_TIMEOUT)
         finally:
-            self._asking.discard(machine)
+            self._probes_in_flight.discard(machine)
 
     def _request(
         self, machine: str, address: str, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> bool:
         """One exchange with a machine's worker, whose answer is its report; whether it came."""
-        asked = self.workers[machine].contact.newest if machine in self.workers else (0, 0)
+        asked = self.workers[machine].reachability_tracker.newest if machine in self.workers else (0, 0)
         try:
             reply = self._transport.request(address, method, path, body, timeout)
             if reply.status not in (200, 409):
-                raise NoAnswer(f"status {reply.status}")
-        except NoAnswer as error:
+                raise NoResponse(f"status {reply.status}")
+        except NoResponse as error:
             if path == wire.COMMANDS_PATH:
                 log.info("commands to %s: no answer (%s)", machine, error)
             if worker := self.workers.get(machine):
-                before = worker.contact.reachability
-                worker.contact.unanswered()
+                before = worker.reachability_tracker.reachability
+                worker.reachability_tracker.on_no_response()
                 self._note_reachability(worker, before)
             return False
         try:
@@ -367,35 +392,39 @@
             return False
         if self.is_gone(report.machine):
             return False  # returned while its answer was under way: it must not be known, nor used, again
-        if self._blocks.mine(report.zone) is not None:
+        if self._blocks.own_grant(report.zone) is not None:
             self._take_reply(report, asked if report.machine == machine else (0, 0))
         return True
 
-    def _take_reply(self, report: Report, asked: Number) -> None:
-        """Take in a worker's answer; `asked` is the newest that was known of it when it was asked."""
+    def _take_reply(self, report: Report, newest_when_sent: MessageNumber) -> None:
+        """Take in a worker's answer; `newest_when_sent` is the newest that was known of it when it was asked."""
         worker, now = self._worker(report), self._clock.steady()
-        before = worker.contact.reachability
-        evidence, began_anew = worker.contact.replied((report.session, report.sequence), asked, now)
+        before = worker.reachability_tracker.reachability
+        evidence, began_anew = worker.reachability_tracker.on_response(
+            (report.session, report.sequence), newest_when_sent, now
+        )
         if began_anew:
-            self._begin_anew(worker, report)
+            self._on_numbering_restart(worker, report)
         self._note_reachability(worker, before)
-        self._take(worker, report, evidence, now)
+        self._apply_report(worker, report, evidence, now)
 
     def _note_reachability(self, worker: Worker, before: Reachability) -> None:
         """Log a worker that is not reached any more, or is again, and have it judged anew."""
-        reachability = worker.contact.reachability
+        reachability = worker.reachability_tracker.reachability
         if reachability is before:
             return
         if reachability is Reachability.UNREACHABLE:
             log.info("worker %s is not reached: what is sent to it gets no answer", worker.machine)
         elif before is Reachability.UNREACHABLE:
             log.info("worker %s is reached again", worker.machine)
-        self._changes.note(worker.machine)
+        self._changes.mark_changed(worker.machine)
         self._wake()
 
     def unreachable(self) -> int:
         """How many workers report here or did, and are not reached."""
-        return sum(worker.contact.reachability is Reachability.UNREACHABLE for worker in self.workers.values())
+        return sum(
+            worker.reachability_tracker.reachability is Reachability.UNREACHABLE for worker in self.workers.values()
+        )
 
     # -- leases -------------------------------------------------------------
 
@@ -405,26 +434,30 @@
         Until a worker has shown our token, the holder before us may have been
         renewing it for as long as it was allowed to without the store.
         """
-        grant = self._blocks.mine(zone)
+        grant = self._blocks.own_grant(zone)
         if grant is None:
             return None
         worker = self.workers.get(machine)
-        renewed = worker.answered_at if worker else None
+        renewed = worker.lease_renewed_at if worker else None
         if worker is None or worker.token < grant.token:
-            earlier = grant.since + self._leadership.renewal.grace
+            earlier = grant.since + self._leadership.renewal.grace_period
             renewed = earlier if renewed is None else max(renewed, earlier)
         if renewed is None:
-            renewed = worker.heard_at
+            renewed = worker.last_report_at
         return renewed + self._times.lease * DRIFT + seconds(1)
 
     def settle_expired(self) -> None:
         """Settle what stood on machines whose leases have certainly ended."""
-        if not self._leadership.informed():
+        if not self._leadership.mirror_is_fresh():
             return  # a node that stood still heard nobody, and others renewed the leases meanwhile
         now = self._clock.steady()
-        for machine, load in self._book.loads.items():
+        for machine, load in self._job_index.loads.items():
             worker = self.workers.get(machine)
-            if worker is not None and not worker.contact.lost and now - worker.heard_at < self._times.lease:
+            if (
+                worker is not None
+                and not worker.reachability_tracker.presumed_unreachable
+                and now - worker.last_report_at < self._times.lease
+            ):
                 continue  # heard of within a lease: whatever is reckoned, it has not ended
             end = self.lease_end(machine, next(iter(load.placements.values())).zone)
             if end is not None and now > end:
@@ -434,11 +467,11 @@
     def settle_machine(self, machine: str) -> None:
         """The cloud confirmed that the machine is gone, and everything on it."""
         now = self._clock.steady()
-        for placement in list(self._book.on(machine).values()):
-            if self._blocks.mine(placement.zone) is not None:
+        for placement in list(self._job_index.placements_on(machine).values()):
+            if self._blocks.own_grant(placement.zone) is not None:
                 self.settle(placement, Cause.LOST, Ground.MACHINE_GONE, now)
         self._drop(machine)
 
     def _drop(self, machine: str) -> None:
         self.workers.pop(machine, None)
-        self._changes.note(machine)
+        self._changes.mark_changed(machine)
--- a/tests/test_absence.py
+++ b/tests/test_absence.py
@@ -15,7 +15,7 @@
         world.run(8)
     assert world.running("j-1") == before
     assert len(world.cloud.machines) == 6, "no machine was returned"
-    assert sorted(len(n.blocks.my_zones()) for n in world.nodes.values()) == [1, 1, 1]
+    assert sorted(len(n.blocks.held_zones()) for n in world.nodes.values()) == [1, 1, 1]
     assert world.broken == []
 
 
@@ -27,10 +27,10 @@
     world.filter = lambda source, target, path: "lost" if path in ("/checkin", "/status") else None  # nothing came in
     world.freeze(holder.platform.node, 10)
     world.store.outage(False)
-    holder.follow()
-    holder.watch.step()
-    assert holder.watch.mine()
-    assert all(m.usable for m in holder.watch.mine())
+    holder.watch_store()
+    holder.machine_monitor.run_once()
+    assert holder.machine_monitor.mine()
+    assert all(m.usable for m in holder.machine_monitor.mine())
 
 
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
@@ -46,7 +46,7 @@
             return 0.0
         asleep.append(at)
         for node in world.nodes.values():
-            del node.holding.round  # holders start things again
+            del node.holder_scheduler.round  # holders start things again
         return 30.0
 
     world.stand_still = pause
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,18 +5,18 @@
 import pytest
 
 from kelpjunction.clock import ZERO, seconds
-from kelpjunction.jobs.book import Phase, Placement
+from kelpjunction.jobs.job_index import Phase, Placement
 from kelpjunction.wire.messages import Report, TaskId, TaskReport, TaskState, Verb
 from kelpjunction.workers.answers import (
-    Entitlement,
-    Known,
+    BlockAuthority,
     Refusal,
-    answer,
-    read,
+    WorkerStatus,
+    assess_report,
+    build_response,
     refuse_block,
     refuse_report,
 )
-from kelpjunction.workers.contact import Evidence
+from kelpjunction.workers.reachability import Evidence
 
 TASK = TaskId("j-1", 0)
 
@@ -26,7 +26,7 @@
 
 
 def placement(session: int = 2, attempt: int = 3, phase: Phase = Phase.PLACED, seen: bool = False) -> Placement:
-    made = Placement(TASK, None, attempt, "n-1", session, "a", phase=phase, seen=seen)
+    made = Placement(TASK, None, attempt, "n-1", session, "a", phase=phase, was_reported=seen)
     made.grace = seconds(4)
     return made
 
@@ -38,10 +38,10 @@
 @pytest.mark.parametrize(
     ("entitlement", "refusal"),
     [
-        (Entitlement(5, False, True), None),
-        (Entitlement(None, False, True), Refusal.NOT_HELD),
-        (Entitlement(5, True, True), Refusal.OVERTAKEN),
-        (Entitlement(5, False, False), Refusal.OUT_OF_TOUCH),
+        (BlockAuthority(5, False, True), None),
+        (BlockAuthority(None, False, True), Refusal.NOT_HELD),
+        (BlockAuthority(5, True, True), Refusal.HIGHER_TOKEN_SEEN),
+        (BlockAuthority(5, False, False), Refusal.STORE_NEWS_STALE),
     ],
 )
 def test_who_may_answer(entitlement, refusal):
@@ -51,11 +51,11 @@
 @pytest.mark.parametrize(
     ("known", "refusal"),
     [
-        (Known(2, False, True), None),
-        (Known(2, True, True), Refusal.UNREACHED),
-        (Known(2, False, False), Refusal.GIVEN_UP),
-        (Known(3, False, True), Refusal.EARLIER_SESSION),
-        (Known(1, False, True), Refusal.UNPROVED_SESSION),
+        (WorkerStatus(2, False, True), None),
+        (WorkerStatus(2, True, True), Refusal.UNREACHED),
+        (WorkerStatus(2, False, False), Refusal.RESPONSE_TIMED_OUT),
+        (WorkerStatus(3, False, True), Refusal.EARLIER_SESSION),
+        (WorkerStatus(1, False, True), Refusal.UNPROVED_SESSION),
     ],
 )
 def test_which_report_gets_a_200(known, refusal):
@@ -82,7 +82,7 @@
 def test_what_an_answer_says(stands, reported, verbs):
     here = {} if stands is None else {TASK: stands}
     tasks = [] if reported is None else [told(reported)]
-    said = answer(2, tasks, here, Counter(), no_start_under_way=True)
+    said = build_response(2, tasks, here, Counter(), no_start_in_flight=True)
     assert [command.verb for command in said.commands] == verbs
     assert said.starts == ([stands] if Verb.START in verbs else [])
     graces = [command.grace for command in said.commands if command.verb is Verb.STOP]
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize(("sending", "no_start_under_way"), [(Counter({(TASK, 3): 1}), True), (Counter(), False)])
 def test_nothing_is_forgotten_while_a_start_of_it_may_arrive(sending, no_start_under_way):
-    assert answer(2, [told(TaskState.EXITED)], {}, sending, no_start_under_way).commands == []
+    assert build_response(2, [told(TaskState.EXITED)], {}, sending, no_start_under_way).commands == []
 
 
 @pytest.mark.parametrize(
@@ -99,15 +99,15 @@
     [
         (Evidence.PROOF, 2, placement(), "missing"),
         (Evidence.PROOF, 1, placement(session=1), "ended"),
-        (Evidence.PROOF, 2, placement(session=3), "of_another_life"),
+        (Evidence.PROOF, 2, placement(session=3), "from_later_session"),
         (Evidence.CLAIM, 2, placement(seen=True), None),  # what a claim lacks settles nothing
     ],
 )
 def test_what_a_message_says_of_a_task_that_it_does_not_list(evidence, known_session, stands, field):
-    reading = read(report(), evidence, known_session, {TASK: stands})
+    reading = assess_report(report(), evidence, known_session, {TASK: stands})
     assert reading.believed
-    assert reading.ask is (evidence is Evidence.CLAIM)
-    for name in ("ended", "of_another_life", "missing"):
+    assert reading.needs_probe is (evidence is Evidence.CLAIM)
+    for name in ("ended", "from_later_session", "missing"):
         assert getattr(reading, name) == ([stands] if name == field else [])
 
 
@@ -123,15 +123,15 @@
 )
 @pytest.mark.parametrize("evidence", [Evidence.CLAIM, Evidence.SUCCESSOR])
 def test_what_a_report_lacks_is_asked_about(evidence, stands, ask):
-    assert read(report(), evidence, 2, {TASK: stands}).ask is ask
+    assert assess_report(report(), evidence, 2, {TASK: stands}).needs_probe is ask
 
 
 @pytest.mark.parametrize(
     ("evidence", "ends"), [(Evidence.CLAIM, False), (Evidence.SUCCESSOR, True), (Evidence.PROOF, True)]
 )
 def test_an_exit_that_may_be_of_an_earlier_life_is_asked_about(evidence, ends):
-    reading = read(report(tasks=(told(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)})
-    assert (len(reading.listed), reading.ask) == ((1, False) if ends else (0, True))
+    reading = assess_report(report(tasks=(told(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)})
+    assert (len(reading.listed), reading.needs_probe) == ((1, False) if ends else (0, True))
     assert reading.missing == []
 
 
@@ -146,6 +146,6 @@
     ],
 )
 def test_which_message_counts(evidence, known_session, believed, ask):
-    reading = read(report(tasks=(told(TaskState.RUNNING),)), evidence, known_session, {TASK: placement()})
-    assert (reading.believed, reading.ask) == (believed, ask)
+    reading = assess_report(report(tasks=(told(TaskState.RUNNING),)), evidence, known_session, {TASK: placement()})
+    assert (reading.believed, reading.needs_probe) == (believed, ask)
     assert [p.attempt for p, _ in reading.listed] == ([3] if believed else [])
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -23,18 +23,18 @@
 def test_worker_refuses_a_holder_that_was_superseded():
     world = served()
     worker = next(w for w, _ in world.cloud.machines.values() if w.zone == "b")
-    old = next(n for n in world.nodes.values() if n.blocks.mine("b"))
+    old = next(n for n in world.nodes.values() if n.blocks.own_grant("b"))
     report = orjson.dumps(worker.report())
     world.cut_from_store = {old.platform.node}
-    assert world.run(10, lambda: any(n is not old and n.blocks.mine("b") for n in world.nodes.values()))
-    new = next(n for n in world.nodes.values() if n is not old and n.blocks.mine("b"))
+    assert world.run(10, lambda: any(n is not old and n.blocks.own_grant("b") for n in world.nodes.values()))
+    new = next(n for n in world.nodes.values() if n is not old and n.blocks.own_grant("b"))
     status, answer = old.check_in(report)
     assert status == 200, "it can't tell an outage from its own cut yet"
-    assert orjson.loads(answer)["helm"] < new.blocks.token("b")
-    old.intake.siblings_fresh = True
+    assert orjson.loads(answer)["helm"] < new.blocks.own_token("b")
+    old.intake.sibling_has_fresh_mirror = True
     world.run(3)
     assert old.check_in(report)[0] == 503, "a sibling has news of the store: this node is alone"
-    old.intake.siblings_fresh = False
+    old.intake.sibling_has_fresh_mirror = False
     world.run(20)
     assert old.check_in(report)[0] != 200, "its grace without the store is over"
 
@@ -85,12 +85,12 @@
         "lost" if (source == deaf and target in machines) or target == deaf else None
     )
     world.run(12)
-    assert world.nodes[deaf].blocks.my_zones() == []
+    assert world.nodes[deaf].blocks.held_zones() == []
     world.run(30)
     assert world.running("j-1") == before, "no lease ended"
     assert len(world.cloud.machines) == 9, "and no machine was blamed"
     world.filter = lambda *_: None
-    assert world.run(20, lambda: world.nodes[deaf].blocks.my_zones() != [])
+    assert world.run(20, lambda: world.nodes[deaf].blocks.held_zones() != [])
     assert world.broken == []
 
 
@@ -100,12 +100,12 @@
 def test_blocks_are_spread_over_the_live_nodes_and_follow_their_deaths():
     world = served()
     world.run(5)
-    assert sorted(len(n.blocks.my_zones()) for n in world.nodes.values()) == [1, 1, 1]
+    assert sorted(len(n.blocks.held_zones()) for n in world.nodes.values()) == [1, 1, 1]
     dead = next(n for n, node in world.nodes.items() if node is not world.leader())
     world.kill_node(dead)
     assert world.run(10, lambda: dead not in {g.holder for g in world.leader().blocks.grants.values()})
     world.start_node(dead)
-    assert world.run(20, lambda: world.nodes[dead].blocks.my_zones() != [])
+    assert world.run(20, lambda: world.nodes[dead].blocks.held_zones() != [])
     assert world.broken == []
 
 
@@ -114,7 +114,7 @@
     world.submit("j-1", 3, shape="service", urgency="prod", apart=True)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     leader = world.leader()
-    frond, machine = next((f, m) for f, m in world.running("j-1") if leader.blocks.mine(zone_of(world, m)) is None)
+    frond, machine = next((f, m) for f, m in world.running("j-1") if leader.blocks.own_grant(zone_of(world, m)) is None)
     world.kill_node(leader.platform.node)
     for node in world.nodes.values():
         if node is not None:
@@ -131,15 +131,15 @@
     """News often overtake the answer; all that is known of the workers would be asked for again each time."""
     world = served()
     node = world.leader()
-    zone = node.blocks.my_zones()[0]
-    known, since = dict(node.roster.workers), node.blocks.mine(zone).since
+    zone = node.blocks.held_zones()[0]
+    known, since = dict(node.worker_registry.workers), node.blocks.own_grant(zone).since
     assert known
     world.run(3)
     world.filter = lambda source, target, path: "answer lost" if path == "/commit" else None
-    before = node.blocks.token(zone)
-    assert not node.blocks.raise_tokens([zone])
+    before = node.blocks.own_token(zone)
+    assert not node.blocks.issue_new_tokens([zone])
     world.filter = lambda *_: None
-    node.follow()
-    assert node.blocks.token(zone) > before
-    assert node.blocks.mine(zone).since == since
-    assert node.roster.workers == known
+    node.watch_store()
+    assert node.blocks.own_token(zone) > before
+    assert node.blocks.own_grant(zone).since == since
+    assert node.worker_registry.workers == known
