--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -27,19 +27,19 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from kelpjunction.lab.weeks import Proof, Weeks  # noqa: E402
+from kelpjunction.lab.ledger_simulation import LedgerCheck, LedgerSimulation  # noqa: E402
 from kelpjunction.lab.world import Team, World  # noqa: E402
 from kelpjunction.ledger.accounts import (  # noqa: E402
-    Amounts,
-    Page,
+    BalancePage,
     Policy,
+    ResourceTime,
     close,
     closing_entry,
-    held,
+    resource_time,
     settings_entry,
 )
 from kelpjunction.ledger.audit import audit, replay  # noqa: E402
-from kelpjunction.ledger.reader import Base  # noqa: E402
+from kelpjunction.ledger.reader import LedgerSnapshot  # noqa: E402
 from kelpjunction.settings import OperatorSettings, load_operator_settings  # noqa: E402
 
 HOUR = 3_600_000
@@ -50,8 +50,8 @@
     pass
 
 
-def _played(seed: int, weeks: float, day_speed: int, form: str) -> Proof:
-    return Weeks(seed, timedelta(weeks=weeks), day_speed, form).play()
+def _played(seed: int, weeks: float, day_speed: int, form: str) -> LedgerCheck:
+    return LedgerSimulation(seed, timedelta(weeks=weeks), day_speed, form).play()
 
 
 @main.command()
@@ -66,11 +66,11 @@
     with ProcessPoolExecutor(min(seeds, os.cpu_count() or 1)) as pool:
         proofs = list(pool.map(_played, numbers, *([each] * seeds for each in (weeks, day_speed, form))))
     for seed, proof in zip(numbers, proofs, strict=True):
-        hours = sum(a.cpus for a in proof.account.values()) / HOUR / 1000
+        hours = sum(a.cpus for a in proof.observed_usage.values()) / HOUR / 1000
         click.echo(
-            f"seed {seed}: {'holds' if proof.holds else 'DOES NOT HOLD'}; {len(proof.books.entries)} entries, "
+            f"seed {seed}: {'holds' if proof.passed else 'DOES NOT HOLD'}; {len(proof.books.entries)} entries, "
             f"{proof.used} priorities, {proof.replayed.factors} factors replayed, {proof.starts} starts, "
-            f"{proof.faults} faults, {hours:.0f} CPU hours of {len(proof.account)} teams"
+            f"{proof.faults} faults, {hours:.0f} CPU hours of {len(proof.observed_usage)} teams"
         )
         for why in (proof.replayed.fault, *proof.wrong[:3], *proof.broken[:3]):
             if why:
@@ -83,7 +83,7 @@
             archive.write(report / f"weeks-{seed}.parquet", proof.books.base, proof.books.entries)
             again = archive.read(report / f"weeks-{seed}.parquet")
             (report / f"weeks-{seed}.html").write_text(html(again, audit(again)))
-    sys.exit(0 if all(p.holds for p in proofs) else 1)
+    sys.exit(0 if all(p.passed for p in proofs) else 1)
 
 
 def _operators(enabled: bool) -> OperatorSettings:
@@ -138,14 +138,19 @@
     """Seconds to replay a year of 50 teams with an entry an hour."""
     teams = {f"team-{n:02d}": Team(f"team-{n:02d}", 8.0, 0.0, None, None) for n in range(50)}
     policy = Policy.of(_operators(True).ledger, teams)
-    entries, page = [settings_entry(1, "", 0, policy, "n term 1")], Page(0, 0, {})
+    entries, page = [settings_entry(1, "", 0, policy, "n term 1")], BalancePage(0, 0, {})
     for step in range(365 * 24):
         before = page
-        now = {name: (held(4.0, 0.0, 8.0, (step * 7919 + 31 * i) % HOUR), Amounts()) for i, name in enumerate(teams)}
-        page, rows = close(page, before.at + HOUR, step, now, policy, teams)
-        entries.append(closing_entry(entries[-1]["n"] + 1, entries[-1]["hash"], 0, before.at, page, rows, "n term 1"))
+        now = {
+            name: (resource_time(4.0, 0.0, 8.0, (step * 7919 + 31 * i) % HOUR), ResourceTime())
+            for i, name in enumerate(teams)
+        }
+        page, rows = close(page, before.closed_at_ms + HOUR, step, now, policy, teams)
+        entries.append(
+            closing_entry(entries[-1]["n"] + 1, entries[-1]["hash"], 0, before.closed_at_ms, page, rows, "n term 1")
+        )
     began = time.process_time()
-    done = replay(Base(), entries)
+    done = replay(LedgerSnapshot(), entries)
     took = time.process_time() - began
     assert done.fault is None
     return took, done.factors
@@ -183,26 +188,29 @@
     import matplotlib as mpl
     from matplotlib.figure import Figure
 
-    from kelpjunction.ledger.accounts import charged
-    from kelpjunction.ledger.fading import FORMS, ONE, factor, full_use
+    from kelpjunction.ledger.accounts import apply_charge
+    from kelpjunction.ledger.decay import FACTOR_FUNCTIONS, FIXED_POINT_ONE, factor, steady_state_usage
 
     usual, share = load_operator_settings(None).ledger, 8_000
     half_life = usual.half_life // timedelta(milliseconds=1)
-    full = full_use(share, half_life)
+    full = steady_state_usage(share, half_life)
     figure = Figure(figsize=(10, 3.8), layout="constrained")
     against, time_line = figure.subplots(1, 2)
     against.set(xlabel="faded usage against the share", ylabel="factor", title="The three forms, floor 0.05")
     time_line.set(xlabel="days", title="12 times its share for four weeks, then nothing")
     days = range(8 * 7)
-    for name in FORMS:
-        values = [factor(name, round(x / 20 * full), share, half_life, ONE // 20) / ONE for x in range(200)]
+    for name in FACTOR_FUNCTIONS:
+        values = [
+            factor(name, round(x / 20 * full), share, half_life, FIXED_POINT_ONE // 20) / FIXED_POINT_ONE
+            for x in range(200)
+        ]
         against.plot([x / 20 for x in range(200)], values, label=name)
         policy, faded, line = Policy.of(replace(usual, form=name), {}), 0, []
         for day in days:
-            use = held(96.0 if day < 28 else 0.0, 0.0, 0.0, 24 * HOUR)
-            row = charged(faded, 24 * HOUR, use, share, policy)
-            faded = row.faded
-            line.append(row.factor / ONE)
+            use = resource_time(96.0 if day < 28 else 0.0, 0.0, 0.0, 24 * HOUR)
+            row = apply_charge(faded, 24 * HOUR, use, share, policy)
+            faded = row.decayed_usage
+            line.append(row.factor / FIXED_POINT_ONE)
         time_line.plot(days, line, label=name)
     for axes in (against, time_line):
         axes.set_ylim(0, 1.02)
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -16,10 +16,10 @@
 import click
 import orjson
 
-from kelpjunction.lab.farm import TEAMS, Farm, FarmWorld, ticket
+from kelpjunction.lab.ticket_simulation import TEAMS, TicketSimulation, TicketWorld, ticket
 from kelpjunction.tickets import plan
-from kelpjunction.tickets.course import Course, StepState
-from kelpjunction.tickets.records import TICKET_PREFIX, pack, salted
+from kelpjunction.tickets.progress import StepState, TicketProgress
+from kelpjunction.tickets.records import TICKET_PREFIX, encode_plan, job_ref_seed
 
 
 @click.group()
@@ -34,13 +34,15 @@
 def mixed(tickets: int, seconds: float, seed: int) -> None:
     """So many tickets beside as many native jobs, through kills and outages; exit code 1 if anything is wrong."""
     began = time.perf_counter()
-    verdict = Farm(seed, tickets, seconds).play()
+    verdict = TicketSimulation(seed, tickets, seconds).play()
     ends = ", ".join(f"{count} {end}" for end, count in sorted(verdict.ends.items()))
     click.echo(f"{verdict.tickets} tickets, {verdict.runs} runs: {ends}; {verdict.faults} faults")
-    click.echo(f"ledger equals account: {verdict.ledger == verdict.account}; {time.perf_counter() - began:.0f} s")
+    click.echo(
+        f"ledger equals account: {verdict.ledger == verdict.observed_usage}; {time.perf_counter() - began:.0f} s"
+    )
     for problem in verdict.problems:
         click.echo(f"PROBLEM: {problem}")
-    sys.exit(0 if verdict.holds else 1)
+    sys.exit(0 if verdict.passed else 1)
 
 
 def _timed(act: Callable[[], None]) -> float:
@@ -54,12 +56,12 @@
 @click.option("--one-template", is_flag=True, help="All tickets of a kind have the same template.")
 def accept(count: int, one_template: bool) -> None:
     """Processor time of accepting tickets, beside native submissions of the same jobs."""
-    from kelpjunction.tickets import wire
+    from kelpjunction.tickets import job_template
 
     for kind, steps in (("single", 1), ("chain", 3), ("diamond", 4), ("long", 30)):
-        world = FarmWorld(gateways=1, machines=3, capacity=3, teams=TEAMS)
+        world = TicketWorld(gateways=1, machines=3, capacity=3, teams=TEAMS)
         world.run(6)
-        desk, intake = world.gateways["gate-0"].desk, world.nodes["holdfast-0"].intake
+        desk, intake = world.gateways["gate-0"].ticket_requests, world.nodes["holdfast-0"].intake
         fields = [ticket(kind, "once", n) for n in range(count)]
         if one_template:
             fields = [f | {"template": fields[0]["template"]} for f in fields]
@@ -71,8 +73,10 @@
         natives = []
         for number in range(count):
             fields = ticket(kind, "once", number)
-            read = wire.resolve(fields["template"], {})
-            made = plan.plan(f"native-{number}", *read, plan.Order("farm", klass="once", image="img", image_gb=1.0))
+            read = job_template.resolve(fields["template"], {})
+            made = plan.build_plan(
+                f"native-{number}", *read, plan.SubmissionOptions("farm", klass="once", image="img", image_gb=1.0)
+            )
             natives += [orjson.dumps(job[2]) for job in made.record()["jobs"]]
         native = _timed(lambda intake=intake, natives=natives: [intake.submit(body) for body in natives])
         click.echo(
@@ -90,7 +94,7 @@
     for what, imports in (
         ("node", "import kelpjunction.daemon"),
         ("gateway", gateway),
-        ("gateway that has read a ticket", f"{gateway}, kelpjunction.tickets.wire"),
+        ("gateway that has read a ticket", f"{gateway}, kelpjunction.tickets.job_template"),
     ):
         done = subprocess.run([sys.executable, "-c", f"{imports}; {tell}"], capture_output=True, text=True, check=True)
         click.echo(f"{what}: {done.stdout.strip()}")
@@ -100,7 +104,7 @@
 @click.option("--tickets", default=10_000, show_default=True, help="Chains of three, each with its second step sent.")
 def drive(tickets: int) -> None:
     """A step of the gateway that drives, by how many runs changed."""
-    world = FarmWorld(gateways=0, machines=3, capacity=3, teams=TEAMS)
+    world = TicketWorld(gateways=0, machines=3, capacity=3, teams=TEAMS)
     world.run(6)
     now = world.clock.utc()
     steps = [plan.Step(name, 1, depends_on=after) for name, after in (("a", ()), ("b", ("a",)), ("c", ("b",)))]
@@ -108,8 +112,8 @@
     refs = []
     for number in range(tickets):
         run = f"t-{number}.1"
-        made = plan.plan(salted(run, ""), "half done", steps, plan.Order("farm"))
-        course = Course("once", "farm", now, states, pack(made), "")
+        made = plan.build_plan(job_ref_seed(run, ""), "half done", steps, plan.SubmissionOptions("farm"))
+        course = TicketProgress("once", "farm", now, states, encode_plan(made), "")
         world.store.handle("POST", "/commit", _commit(TICKET_PREFIX + run, course.record()))
         spec = made.record()["jobs"][1][2]
         refs.append(spec["ref"])
@@ -118,7 +122,7 @@
     loaded = _timed(lambda: [gateway.follow(mirror) for mirror in (gateway.jobs, gateway.tickets)])
     gateway.leadership.run_once()
     gateway.leadership.run_once()
-    took = _timed(lambda: [None for _ in iter(gateway.drive, False)])
+    took = _timed(lambda: [None for _ in iter(gateway.reconcile, False)])
     click.echo(f"{tickets} tickets half done: read in {loaded:.2f} s, all looked at on taking over in {took:.2f} s")
     for changed in (0, 1, 10, 100):
         for ref in refs[:changed]:
@@ -126,12 +130,12 @@
             world.store.handle("POST", "/commit", _commit(f"e/{ref}", {"end": "done"}))
         refs = refs[changed:]
         gateway.follow(gateway.jobs)
-        looked = gateway.driver.looked_at
-        step = _timed(gateway.drive)
-        click.echo(f"{changed} changed: {1000 * step:.2f} ms, {gateway.driver.looked_at - looked} looked at")
+        looked = gateway.reconciler.runs_examined
+        step = _timed(gateway.reconcile)
+        click.echo(f"{changed} changed: {1000 * step:.2f} ms, {gateway.reconciler.runs_examined - looked} looked at")
         gateway.follow(gateway.jobs)
         gateway.follow(gateway.tickets)
-        gateway.drive()
+        gateway.reconcile()
 
 
 def _commit(key: str, value: dict) -> dict:
--- a/kelpjunction/cli/jobs.py
+++ b/kelpjunction/cli/jobs.py
@@ -15,7 +15,7 @@
 
 DEFAULT_NODES = "127.0.0.1:18080,127.0.0.1:18180,127.0.0.1:18280"
 ANSWER_WITHIN = timedelta(seconds=5)
-PAUSE = timedelta(seconds=1)
+RETRY_INTERVAL = timedelta(seconds=1)
 POLL_EVERY = timedelta(seconds=5)
 
 _nodes = click.option(
@@ -32,7 +32,7 @@
     return _nodes(patience_option(as_json_option(command)))
 
 
-class Caller:
+class RetryingClient:
     """Asks one node after the other until one gives an answer that counts."""
 
     def __init__(self, nodes: str, patience: float, pause: Callable[[float], None] = time.sleep) -> None:
@@ -56,12 +56,12 @@
                 if reply.status not in (429, 503, 504):
                     return reply
                 why = f"{address}: {reply.status} {reply.fields.get('error', '')}"
-            if time.monotonic() + PAUSE.total_seconds() >= until:
+            if time.monotonic() + RETRY_INTERVAL.total_seconds() >= until:
                 click.echo(f"kelpjunction: no answer that counts: {why}", err=True)
                 click.echo("Is a service running there? `kelpjunction lab up` starts one on this machine;", err=True)
                 click.echo("--nodes or KELPJUNCTION_NODES names another.", err=True)
                 sys.exit(3)
-            self._pause(PAUSE.total_seconds())
+            self._pause(RETRY_INTERVAL.total_seconds())
 
 
 def _print(reply: Reply, as_json: bool) -> None:
@@ -119,13 +119,13 @@
     if file is not None:
         try:
             fields = users.parse_object(file.read_bytes())
-        except users.Malformed as error:
+        except users.MalformedMessage as error:
             click.echo(f"kelpjunction: {file}: {error}", err=True)
             sys.exit(2)
         fields = {"ref": ref} | fields
     else:
         fields = users.job_fields(ref, team, shape, tasks, cpus, memory, seconds)
-    _print(Caller(nodes, patience).ask("POST", users.JOBS_PATH, fields), as_json)
+    _print(RetryingClient(nodes, patience).ask("POST", users.JOBS_PATH, fields), as_json)
 
 
 @job.command()
@@ -133,7 +133,7 @@
 @_asking
 def show(ref: str, nodes: str, patience: float, as_json: bool) -> None:
     """Show how a job stands."""
-    _print(Caller(nodes, patience).ask("GET", f"{users.JOBS_PATH}/{ref}"), as_json)
+    _print(RetryingClient(nodes, patience).ask("GET", f"{users.JOBS_PATH}/{ref}"), as_json)
 
 
 @job.command()
@@ -142,7 +142,7 @@
 @_asking
 def watch(ref: str, every: float, nodes: str, patience: float, as_json: bool) -> None:
     """Follow a job until it is done or cancelled."""
-    caller, last = Caller(nodes, patience), None
+    caller, last = RetryingClient(nodes, patience), None
     while True:
         reply = caller.ask("GET", f"{users.JOBS_PATH}/{ref}")
         if reply != last:
@@ -158,4 +158,4 @@
 @_asking
 def abort(ref: str, nodes: str, patience: float, as_json: bool) -> None:
     """Cancel a job; says `done` if it was done already."""
-    _print(Caller(nodes, patience).ask("POST", f"{users.JOBS_PATH}/{ref}{users.ABORT_END}"), as_json)
+    _print(RetryingClient(nodes, patience).ask("POST", f"{users.JOBS_PATH}/{ref}{users.ABORT_END}"), as_json)
--- a/kelpjunction/cli/lab.py
+++ b/kelpjunction/cli/lab.py
@@ -47,9 +47,9 @@
         from kelpjunction.lab.world import World
 
         return World
-    from kelpjunction.lab.farm import FarmWorld
+    from kelpjunction.lab.ticket_simulation import TicketWorld
 
-    return FarmWorld
+    return TicketWorld
 
 
 @click.group()
@@ -118,7 +118,7 @@
       kelpjunction lab run examples/demo.toml --simulated --json
     """
     from kelpjunction.lab.scenario import Player, ScenarioError, load
-    from kelpjunction.lab.world import Weather
+    from kelpjunction.lab.world import NetworkConditions
 
     site, tuning = None, _settings(operators)
     try:
@@ -126,7 +126,7 @@
         machines = what["machines"]
         if simulated:
             how = {"seed": seed, "machines": machines, "capacity": 2 * machines}
-            site = _world(bool(what["ticket"]))(**how, weather=Weather(), operators=tuning)
+            site = _world(bool(what["ticket"]))(**how, network_conditions=NetworkConditions(), operators=tuning)
         else:
             site = _live(3, 3, machines, speed, port, seed, operators, False, bool(what["ticket"]))
         player = Player(site, what, lambda line: click.echo(line, err=True))
--- a/kelpjunction/cli/ledger.py
+++ b/kelpjunction/cli/ledger.py
@@ -14,7 +14,7 @@
 from kelpjunction.transport import HttpTransport
 
 LAB_STATE = "127.0.0.1:18379"
-CAREFUL = StoreLimits(100.0, 20.0, 4096, 8)  # where no settings file tells the limits
+DEFAULT_STORE_LIMITS = StoreLimits(100.0, 20.0, 4096, 8)  # where no settings file tells the limits
 SHARE = 0.1  # of the state service's rate of changes that a command may take
 
 
@@ -48,7 +48,7 @@
 
 
 def _store(state: str, config: str | None) -> StoreClient:
-    address, limits = state, CAREFUL
+    address, limits = state, DEFAULT_STORE_LIMITS
     if config is not None:
         try:
             platform = load_platform_settings(config)
@@ -60,12 +60,12 @@
 
 def _books(file: Path | None, state: str, config: str | None):
     """The ledger from a file or from the service; exit codes 2 and 3 as everywhere."""
-    from kelpjunction.ledger.accounts import Malformed
+    from kelpjunction.ledger.accounts import LedgerError
     from kelpjunction.ledger.reader import read
 
     try:
         return read(_store(state, config)) if file is None else _extra("archive").read(file)
-    except Malformed as error:
+    except LedgerError as error:
         _fail(2 if file else 1, error)
     except StoreUnavailable as error:
         _fail(3, f"no state service answers at {state}: {error}")
@@ -101,18 +101,18 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def show(file: Path | None, state: str, config: str | None, as_json: bool) -> None:
     """Print each team's usage and factor as of the last entry."""
-    from kelpjunction.ledger.accounts import HOUR, total
+    from kelpjunction.ledger.accounts import UNIT_HOUR, total
     from kelpjunction.ledger.audit import replay
-    from kelpjunction.ledger.fading import ONE
+    from kelpjunction.ledger.decay import FIXED_POINT_ONE
 
     books = _books(file, state, config)
     done, sums = replay(books.base, books.entries), total(books.entries)
     teams = {
         name: {
-            "cpu_hours": sums[name].cpus / HOUR if name in sums else 0.0,
-            "accelerator_hours": sums[name].gpus / HOUR if name in sums else 0.0,
-            "faded": balance.faded,
-            "factor": balance.factor / ONE,
+            "cpu_hours": sums[name].cpus / UNIT_HOUR if name in sums else 0.0,
+            "accelerator_hours": sums[name].gpus / UNIT_HOUR if name in sums else 0.0,
+            "faded": balance.decayed_usage,
+            "factor": balance.factor / FIXED_POINT_ONE,
         }
         for page in done.base.pages.values()
         for name, balance in page.balances.items()
@@ -170,9 +170,9 @@
 
     The entries go only after the file was written, read back and audited.
     """
-    from kelpjunction.ledger.accounts import Malformed
+    from kelpjunction.ledger.accounts import LedgerError
     from kelpjunction.ledger.audit import replay
-    from kelpjunction.ledger.reader import Books, roll_up
+    from kelpjunction.ledger.reader import LedgerContents, compact
 
     if target.exists():
         _fail(2, f"{target} exists: an archive is never written over")
@@ -183,11 +183,11 @@
         _fail(1, "there is nothing to archive")
     files = _extra("archive")
     files.write(target, books.base, old)
-    if (again := files.read(target)) != Books(books.base, old):
+    if (again := files.read(target)) != LedgerContents(books.base, old):
         _fail(1, f"{target} does not hold what was written: nothing was deleted")
     try:
-        count = roll_up(_store(state, config), replay(again.base, again.entries).base)
-    except Malformed as error:
+        count = compact(_store(state, config), replay(again.base, again.entries).base)
+    except LedgerError as error:
         _fail(1, error)
     except StoreUnavailable as error:
         _fail(3, f"no state service answers at {state}: {error}; run the command again")
--- a/kelpjunction/cli/ticket.py
+++ b/kelpjunction/cli/ticket.py
@@ -10,7 +10,7 @@
 import click
 import orjson
 
-from kelpjunction.cli.jobs import POLL_EVERY, Caller, as_json_option, patience_option
+from kelpjunction.cli.jobs import POLL_EVERY, RetryingClient, as_json_option, patience_option
 from kelpjunction.transport import Reply
 from kelpjunction.wire import users
 
@@ -79,25 +79,25 @@
       kelpjunction ticket check match.yaml -p Race=regina-10k
     """
     try:
-        from kelpjunction.tickets import plan, wire
+        from kelpjunction.tickets import job_template, plan
     except ModuleNotFoundError as error:
         _missing(error)
     parameters = _parameters(pairs)
-    order = plan.Order(team, estimate=timedelta(seconds=seconds))
+    order = plan.SubmissionOptions(team, estimate=timedelta(seconds=seconds))
     try:
-        content = wire.document_of(file.read_bytes())
-        name, steps = wire.resolve(content, parameters)
-        made = plan.plan(ticket_id or plan.ticket_id([content, parameters, team]), name, steps, order)
-    except plan.Refused as refused:
-        for fault in refused.faults:
+        content = job_template.parse_document(file.read_bytes())
+        name, steps = job_template.resolve(content, parameters)
+        made = plan.build_plan(ticket_id or plan.ticket_id([content, parameters, team]), name, steps, order)
+    except plan.TicketRejected as refused:
+        for fault in refused.violations:
             click.echo(f"kelpjunction: {file}: {fault}", err=True)
         sys.exit(1)
     if as_json:
         jobs = [
             {
                 "step": j.name,
-                "after": [made.jobs[i].name for i in j.after],
-                "job": users.fields_to_keep(users.submission(j.spec)),
+                "after": [made.jobs[i].name for i in j.depends_on],
+                "job": users.fields_to_keep(users.fields_from_job(j.spec)),
             }
             for j in made.jobs
         ]
@@ -105,7 +105,7 @@
         return
     click.echo(f"{made.ticket} {made.name}: {len(made.jobs)} steps, {made.tasks} tasks")
     for job in made.jobs:
-        after = f" after {', '.join(made.jobs[i].name for i in job.after)}" if job.after else ""
+        after = f" after {', '.join(made.jobs[i].name for i in job.depends_on)}" if job.depends_on else ""
         spec = job.spec
         click.echo(f"  {job.name}: {spec.ref}, {spec.tasks} x {spec.cpus:g} CPUs, {spec.memory:g} GB{after}")
 
@@ -134,7 +134,7 @@
         return
     try:
         # Parsing is imported before anybody is served: it takes half a second.
-        from kelpjunction.tickets import wire  # noqa: F401
+        from kelpjunction.tickets import job_template  # noqa: F401
         from kelpjunction.tickets.gateway import Daemon
     except ModuleNotFoundError as error:
         _missing(error)
@@ -200,7 +200,7 @@
     }  # fmt: skip
     if ticket_id:
         fields["id"] = ticket_id
-    _print(Caller(gateways, patience).ask("POST", TICKETS_PATH, fields), as_json)
+    _print(RetryingClient(gateways, patience).ask("POST", TICKETS_PATH, fields), as_json)
 
 
 @ticket.command()
@@ -208,7 +208,7 @@
 @_asking
 def show(ticket_id: str, gateways: str, patience: float, as_json: bool) -> None:
     """Show how a ticket stands, with the jobs of its steps; ID.N is its run N."""
-    _print(Caller(gateways, patience).ask("GET", f"{TICKETS_PATH}/{ticket_id}"), as_json)
+    _print(RetryingClient(gateways, patience).ask("GET", f"{TICKETS_PATH}/{ticket_id}"), as_json)
 
 
 @ticket.command()
@@ -217,7 +217,7 @@
 @_asking
 def watch(ticket_id: str, every: float, gateways: str, patience: float, as_json: bool) -> None:
     """Follow a ticket until its final answer; exit code 1 if that is not `done`."""
-    caller, last = Caller(gateways, patience), None
+    caller, last = RetryingClient(gateways, patience), None
     while True:
         reply = caller.ask("GET", f"{TICKETS_PATH}/{ticket_id}")
         if reply != last:
@@ -233,4 +233,4 @@
 @_asking
 def cancel(ticket_id: str, gateways: str, patience: float, as_json: bool) -> None:
     """Cancel a ticket with all its jobs; one that has ended stays as it is."""
-    _print(Caller(gateways, patience).ask("POST", f"{TICKETS_PATH}/{ticket_id}/cancel"), as_json)
+    _print(RetryingClient(gateways, patience).ask("POST", f"{TICKETS_PATH}/{ticket_id}/cancel"), as_json)
--- a/kelpjunction/daemon.py
+++ b/kelpjunction/daemon.py
@@ -159,9 +159,9 @@
         self.ledger_keeper = None
         if operators.ledger.enabled:
             # Imported by nodes that keep a ledger only.
-            from kelpjunction.ledger.keeper import Keeper
+            from kelpjunction.ledger.writer import LedgerWriter
 
-            self.ledger_keeper = Keeper(
+            self.ledger_keeper = LedgerWriter(
                 platform, operators.ledger, self.store, self.mirror, self.job_index, clock, watch_transport
             )
             self.leader_scheduler.team_weight_factor = self.ledger_keeper.factor
@@ -234,7 +234,7 @@
         if self.ledger_keeper is None:
             return
         try:
-            self.ledger_keeper.step()
+            self.ledger_keeper.run_once()
         except StoreUnavailable as error:
             log.debug("the ledger is closed later: %s", error)
 
--- a/kelpjunction/fleet/cloud.py
+++ b/kelpjunction/fleet/cloud.py
@@ -22,7 +22,7 @@
 from kelpjunction.transport import NoResponse, Reply, Transport
 from kelpjunction.wire import cloud as wire
 from kelpjunction.wire.messages import JobSpec, ListedMachine, MachineType, Shape
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 log = logging.getLogger("fleet")
 
@@ -215,7 +215,7 @@
         reply = self._call("GET", wire.CATALOG_PATH)
         try:
             wire.parse_catalog(reply.fields)
-        except Malformed as error:
+        except MalformedMessage as error:
             raise CloudUnavailable(str(error)) from error
         self._catalog_at = self._clock.steady()
         old = self._mirror.get(CATALOG_KEY)
@@ -229,7 +229,7 @@
         while True:
             try:
                 page, more = wire.parse_list(self._call("GET", wire.list_path(after)).fields)
-            except Malformed as error:
+            except MalformedMessage as error:
                 raise CloudUnavailable(str(error)) from error
             listed |= {m.machine: m for m in page}
             if not more or not page:
@@ -482,7 +482,7 @@
             return
         try:
             names = wire.parse_rented(reply.fields)
-        except Malformed as error:
+        except MalformedMessage as error:
             raise CloudUnavailable(str(error)) from error
         if len(names) < intent["n"]:
             self._refused[offer] = now + REFUSED_OFFER_BACKOFF
--- a/kelpjunction/fleet/machine_monitor.py
+++ b/kelpjunction/fleet/machine_monitor.py
@@ -21,7 +21,7 @@
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable, Transaction
 from kelpjunction.store.mirror import Mirror
-from kelpjunction.wire.messages import Cause, Report
+from kelpjunction.wire.messages import ExitCause, Report
 from kelpjunction.workers.reachability import Reachability
 from kelpjunction.workers.registry import WorkerRegistry
 
@@ -112,8 +112,10 @@
         machine = self._inventory.adopt(report.machine, report.type, report.zone, report.spot, report.address)
         machine.unanswered_probes = 0
         now = self._clock.steady()
-        if report.notice is not None:
-            became = machine.become(MachineState.LEAVING, now, f"taken back in {report.notice.total_seconds():.0f} s")
+        if report.termination_notice is not None:
+            became = machine.become(
+                MachineState.LEAVING, now, f"taken back in {report.termination_notice.total_seconds():.0f} s"
+            )
         else:
             became = machine.become(MachineState.UP, now, "it reports")
         if became:
@@ -125,10 +127,10 @@
         machine = self._inventory.machines.get(placement.machine)
         if machine is None:
             return
-        if placement.cause is Cause.DONE:
+        if placement.cause is ExitCause.DONE:
             self._failure_attribution.record_success(machine)
             machine.suspect(False)
-        elif placement.cause is Cause.ERROR:
+        elif placement.cause is ExitCause.ERROR:
             machine.cleared_of.discard(placement.task.ref)
 
     def _judge(self, now: timedelta) -> None:
--- a/kelpjunction/http.py
+++ b/kelpjunction/http.py
@@ -13,7 +13,7 @@
 from kelpjunction.intake import Intake, UserResponse
 from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire import users, workers
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 if TYPE_CHECKING:
     from kelpjunction.metrics import Metrics
@@ -51,13 +51,13 @@
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
-        raise Malformed("bad Content-Length") from error
+        raise MalformedMessage("bad Content-Length") from error
     if length < 0 or length > users.MAX_BODY:
-        raise Malformed(f"body exceeds {users.MAX_BODY} bytes")
+        raise MalformedMessage(f"body exceeds {users.MAX_BODY} bytes")
     chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
     body = environ["wsgi.input"].read(users.MAX_BODY + 1 if chunked else length)
     if len(body) > users.MAX_BODY:
-        raise Malformed(f"body exceeds {users.MAX_BODY} bytes")
+        raise MalformedMessage(f"body exceeds {users.MAX_BODY} bytes")
     return body
 
 
@@ -155,7 +155,7 @@
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         try:
             answer = self._route(environ["REQUEST_METHOD"], environ["PATH_INFO"], environ)
-        except Malformed as error:
+        except MalformedMessage as error:
             answer = UserResponse(400, users.error_answer(str(error)))
         except Exception:
             log.exception("%s %s failed", environ["REQUEST_METHOD"], environ["PATH_INFO"])
--- a/kelpjunction/intake/__init__.py
+++ b/kelpjunction/intake/__init__.py
@@ -24,7 +24,7 @@
 from kelpjunction.store.mirror import Mirror, Verifier
 from kelpjunction.wire import users as wire
 from kelpjunction.wire.messages import JobPhase, JobSpec, MachineType, Shape
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 log = logging.getLogger("intake")
 
@@ -105,7 +105,7 @@
     def _submit(self, body: bytes) -> UserResponse:
         try:
             fields = wire.parse_object(body)
-        except Malformed as error:
+        except MalformedMessage as error:
             return UserResponse(400, wire.error_answer(str(error)))
         ref = fields.get("ref")
         if not wire.valid_ref(ref):
@@ -142,7 +142,7 @@
         """Why the job can't be taken, or None."""
         try:
             spec = wire.parse_job(fields)
-        except Malformed as error:
+        except MalformedMessage as error:
             return UserResponse(400, wire.error_answer(str(error)))
         catalog = self._fleet.catalog
         if not catalog:
--- a/kelpjunction/jobs/holder_scheduler.py
+++ b/kelpjunction/jobs/holder_scheduler.py
@@ -54,7 +54,7 @@
 from kelpjunction.rate_limiter import Purpose
 from kelpjunction.settings import OperatorSettings, PlatformSettings
 from kelpjunction.store.client import Transaction
-from kelpjunction.wire.messages import Cause, JobSpec, Shape, TaskId
+from kelpjunction.wire.messages import ExitCause, JobSpec, Shape, TaskId
 from kelpjunction.workers.reachability import Reachability
 from kelpjunction.workers.registry import WorkerRegistry
 
@@ -171,13 +171,13 @@
     ) -> list[Transaction]:
         """What is to be written of a job's settled placements; or it is put into their blocks' pages."""
         over = [p for p in job.placements() if p.phase is Phase.SETTLED and self._blocks.own_grant(p.zone) is not None]
-        if job.spec.shape is Shape.GANG and any(p.cause is Cause.DONE for p in over):
+        if job.spec.shape is Shape.GANG and any(p.cause is ExitCause.DONE for p in over):
             # They complete together, those in other blocks too.
             numbers = set(job.chunks)
             over = list(job.placements())
             done = set(over)
         else:
-            done = {p for p in over if p.cause is Cause.DONE}
+            done = {p for p in over if p.cause is ExitCause.DONE}
         records = {number: self._record_without_settled(job, number, set(over), done) for number in numbers}
         if not job.cancelled and self._finished(job, records):
             return [self._record_writer.end_transaction(job)]
@@ -198,7 +198,7 @@
         return (
             job.spec.shape is Shape.ARRAY
             and not self._operators.records_machine_time
-            and all(p.cause is not Cause.ERROR for p in settled)
+            and all(p.cause is not ExitCause.ERROR for p in settled)
             and (job.chunk_count == 1 or all(r["d"].bit_count() < job.chunk_size(n) for n, r in records.items()))
         )
 
@@ -247,7 +247,7 @@
                 record["d"] |= 1 << i
             if i in gone and (held := placement.machine_time_ms(now)):
                 record["u"] = record.get("u", 0) + held
-        failed = [p.machine for i, p in chunk.placements.items() if i in gone and p.cause is Cause.ERROR]
+        failed = [p.machine for i, p in chunk.placements.items() if i in gone and p.cause is ExitCause.ERROR]
         return record | chunk.failure_fields(failed) if failed else record
 
     def _finished(self, job: Job, records: dict[int, dict]) -> bool:
--- a/kelpjunction/jobs/job_index.py
+++ b/kelpjunction/jobs/job_index.py
@@ -35,7 +35,7 @@
 
 from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import MILLISECOND, ZERO
-from kelpjunction.wire.messages import Cause, JobPhase, JobSpec, Shape, TaskId
+from kelpjunction.wire.messages import ExitCause, JobPhase, JobSpec, Shape, TaskId
 from kelpjunction.wire.users import job_from_fields
 
 JOB_PREFIX = "l/job/"
@@ -79,7 +79,7 @@
     running_since: timedelta | None = None
     grace: timedelta = ZERO
     reason: str = ""
-    cause: Cause | None = None
+    cause: ExitCause | None = None
     saved: bool = False
     started_ms: int | None = None  # when its start was committed, in ms since its job's submission, if metered
     was_reported: bool = False  # some report listed it
--- a/kelpjunction/lab/cloud.py
+++ b/kelpjunction/lab/cloud.py
@@ -20,29 +20,29 @@
     def __init__(self, world: "Site", capacity: int) -> None:
         self.world, self.capacity = world, capacity
         self.machines: dict[str, tuple[WorkerStandIn, timedelta]] = {}
-        self.at: dict[str, WorkerStandIn] = {}  # all there ever were, by address
-        self.answers: dict[str, list[str]] = {}
+        self.workers_by_address: dict[str, WorkerStandIn] = {}  # all there ever were, by address
+        self.rentals_by_request: dict[str, list[str]] = {}
         self.number = 0
-        self.out = False
+        self.is_down = False
         self.boot = seconds(20)
         self.cpus, self.memory_gb = MACHINE_CPUS, MACHINE_MEMORY_GB
-        self.closed: set[str] = set()  # zones of which nothing is rented out
+        self.zones_without_capacity: set[str] = set()  # zones of which nothing is rented out
 
     def add(self, zone: str, spot: bool, ready: timedelta) -> WorkerStandIn:
         self.number += 1
         name = f"n-{self.number:06d}"
         worker = self.world.make_worker(name, zone, spot)
         worker.address = self.world.address_of(worker, self.number)
-        worker.next_report = worker.renewed = worker.began_at = ready
+        worker.next_report = worker.lease_renewed_at = worker.booted_at = ready
         self.machines[name] = (worker, self.world.clock.now)
-        self.at[worker.address] = worker
+        self.workers_by_address[worker.address] = worker
         return worker
 
     def _boot_time(self) -> timedelta:
         return self.boot / self.world.speed * self.world.vary(BOOT_SPREAD)
 
     def handle(self, method: str, path: str, body: dict) -> Reply:
-        if self.out:
+        if self.is_down:
             return Reply(503, {"error": "trouble"})
         now = self.world.clock.now
         if path == "/catalog":
@@ -59,13 +59,13 @@
                     worker.die()
             return Reply(200, {})
         if path == "/rentals":
-            if body["charter"] not in self.answers:
+            if body["charter"] not in self.rentals_by_request:
                 count = min(body["number"], self.capacity - len(self.machines))
-                if count <= 0 or body["bay"] in self.closed:
+                if count <= 0 or body["bay"] in self.zones_without_capacity:
                     return Reply(503, {"error": "no capacity"})
                 added = [self.add(body["bay"], body["driftwood"], now + self._boot_time()) for _ in range(count)]
-                self.answers[body["charter"]] = [w.name for w in added]
-            return Reply(200, {"holdfasts": self.answers[body["charter"]]})
+                self.rentals_by_request[body["charter"]] = [w.name for w in added]
+            return Reply(200, {"holdfasts": self.rentals_by_request[body["charter"]]})
         listed = [
             {
                 "ref": n, "address": w.address, "hull": "box", "bay": w.zone, "driftwood": w.spot,
--- a/kelpjunction/lab/exchanges.py
+++ b/kelpjunction/lab/interleaving.py
@@ -18,7 +18,7 @@
 DELAYS = (0.0, 0.0, 0.1, 0.2, 0.5)  # seconds until an exchange begins, of its request's way, and of its reply's
 
 
-class Surroundings(Protocol):
+class InterleavingEnvironment(Protocol):
     """What exchanges ask of the world they run in."""
 
     def at(self, moment: timedelta, act: Callable[[], None]) -> None:
@@ -26,24 +26,24 @@
 
     def now(self) -> timedelta: ...
 
-    def life(self, node: str) -> object:
+    def process_instance(self, node: str) -> object:
         """What identifies the process that runs under this name."""
 
     def when_running(self, node: str, act: Callable[[], None]) -> None:
         """Do this now, or once a node that stands still goes on."""
 
 
-class Exchanges:
+class InterleavedRequests:
     """Runs exchanges; `seed` draws their delays and nothing else."""
 
-    def __init__(self, surroundings: Surroundings, seed: int) -> None:
+    def __init__(self, surroundings: InterleavingEnvironment, seed: int) -> None:
         self._world = surroundings
         self._random = random.Random(f"exchanges {seed}")
 
     def spawn(self, node: str, function: Callable, *args) -> None:
         """Run a node's function later, which may send requests."""
         exchange = _Exchange(lambda: function(*args))
-        exchange.node, exchange.life = node, self._world.life(node)
+        exchange.node, exchange.life = node, self._world.process_instance(node)
         self._later(lambda: self._resume(exchange, exchange.switch))
 
     def carry(self, handle: Callable[[], Reply], timeout: timedelta) -> Reply:
@@ -74,7 +74,7 @@
 
     def _resume(self, exchange: "_Exchange", switch: Callable[[], object]) -> None:
         """Let an exchange go on, unless its process was killed; one that stands still goes on later."""
-        if self._world.life(exchange.node) is exchange.life:
+        if self._world.process_instance(exchange.node) is exchange.life:
             exchange.parent = getcurrent()
             self._world.when_running(exchange.node, switch)
 
--- a/kelpjunction/lab/weeks.py
+++ b/kelpjunction/lab/ledger_simulation.py
@@ -10,12 +10,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from kelpjunction.lab.account import Account
+from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.lab.world import STORE, Node, World
-from kelpjunction.ledger.accounts import Amounts, rows_of, total
+from kelpjunction.ledger.accounts import ResourceTime, rows_of, total
 from kelpjunction.ledger.audit import Replayed, audit
-from kelpjunction.ledger.fading import ONE
-from kelpjunction.ledger.reader import Books, read
+from kelpjunction.ledger.decay import FIXED_POINT_ONE
+from kelpjunction.ledger.reader import LedgerContents, read
 from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
 
 SMALL, USUAL = 8.0, 16.0
@@ -30,11 +30,11 @@
     Team("pages", SMALL, 0.0, None, None),  # services
 )
 LIVE_JOBS = 3  # of a team at once, but for the heavy one
-TICK = 2.0  # seconds between two looks at the load
-LOST = 0.002  # of the nodes' requests to the state service: lost, or answered in vain
+LOAD_INTERVAL_S = 2.0  # seconds between two looks at the load
+REQUEST_LOSS_RATE = 0.002  # of the nodes' requests to the state service: lost, or answered in vain
 
 
-class Used(NamedTuple):
+class FactorUse(NamedTuple):
     """A priority that a leader used: the last entry it knew of, the team, the factor."""
 
     entry: int
@@ -42,25 +42,25 @@
     factor: float
 
 
-class Proof(NamedTuple):
+class LedgerCheck(NamedTuple):
     """What the weeks came to."""
 
-    books: Books
+    books: LedgerContents
     replayed: Replayed
-    ledger: dict[str, Amounts]
-    account: dict[str, Amounts]
+    ledger: dict[str, ResourceTime]
+    observed_usage: dict[str, ResourceTime]
     used: int  # priorities compared
-    wrong: list[Used]  # those that the replay does not give
+    wrong: list[FactorUse]  # those that the replay does not give
     faults: int
     starts: int
     broken: list[str]
 
     @property
-    def holds(self) -> bool:
-        return not (self.replayed.fault or self.wrong or self.broken) and self.ledger == self.account
+    def passed(self) -> bool:
+        return not (self.replayed.fault or self.wrong or self.broken) and self.ledger == self.observed_usage
 
 
-class Weeks:
+class LedgerSimulation:
     """Plays so much time of day as six weeks of load; a short run squeezes them."""
 
     def __init__(self, seed: int, length: timedelta, day_speed: int = 720, form: str = "hyperbolic") -> None:
@@ -75,19 +75,19 @@
         self._began = self.world.clock.utc()
         self._refs: dict[str, list[str]] = {t.name: [] for t in TEAMS}
         self._number = 0
-        self._used: set[Used] = set()
+        self._used: set[FactorUse] = set()
         self.faults = 0
-        self.account = Account(self.world.store, self.world.clock)
+        self.usage_observer = UsageObserver(self.world.store, self.world.clock)
         self.world.filter = self._fate
         self._watched: set[int] = set()
 
     def _fate(self, source: str, target: str, path: str) -> str | None:
         # Nothing is held back on its way to the state service: the account reads its clock.
-        if target != STORE or path.startswith("/follow") or self._random.random() >= LOST:
+        if target != STORE or path.startswith("/follow") or self._random.random() >= REQUEST_LOSS_RATE:
             return None
         return self._random.choice(["lost", "answer lost"])
 
-    def play(self) -> Proof:
+    def play(self) -> LedgerCheck:
         """Play it, let all work end, close the ledger and compare."""
         world = self.world
         world.run(5)
@@ -96,7 +96,7 @@
             self._load()
             if self._random.random() < 0.08:
                 self._fault()
-            world.run(TICK * self._random.uniform(0.5, 1.5))
+            world.run(LOAD_INTERVAL_S * self._random.uniform(0.5, 1.5))
         world.filter = lambda source, target, path: None
         world.store.outage(False)
         for name in world.node_names:
@@ -150,7 +150,7 @@
         world, leader = self.world, self.world.leader_name()
         kind = self._random.choice(["leader", "leader", "node", "freeze", "outage", "all"])
         running = [n for n in world.node_names if world.runs(n) and n not in world.frozen]
-        if world.store.out or not running or (leader is None and kind == "leader"):
+        if world.store.is_down or not running or (leader is None and kind == "leader"):
             return
         self.faults += 1
         back = self._random.uniform(1, 12)
@@ -174,14 +174,14 @@
     def _noting(self, node: Node):
         def factor(team: str) -> float:
             value = node.ledger_keeper.factor(team)
-            self._used.add(Used(node.ledger_keeper.entry, team, value))
+            self._used.add(FactorUse(node.ledger_keeper.entry, team, value))
             return value
 
         return factor
 
     # -- the proof ------------------------------------------------------------------
 
-    def _proof(self) -> Proof:
+    def _proof(self) -> LedgerCheck:
         world = self.world
         books = read(next(node.store for node in world.nodes.values() if node is not None))
         sums = {team: amounts for team, amounts in total(books.entries).items() if any(amounts)}
@@ -189,10 +189,10 @@
         for entry in books.entries:
             now = dict(factors[entry["n"] - 1])
             if entry["kind"] == "closing":
-                now |= {team: row.factor / ONE for team, row in rows_of(entry).items()}
+                now |= {team: row.factor / FIXED_POINT_ONE for team, row in rows_of(entry).items()}
             factors[entry["n"]] = now
         wrong = [u for u in self._used if factors[u.entry].get(u.team, 1.0) != u.factor]
-        account = {team: amounts for team, amounts in self.account.by_team().items() if any(amounts)}
-        return Proof(
+        account = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
+        return LedgerCheck(
             books, audit(books), sums, account, len(self._used), wrong, self.faults, len(world.starts), world.broken
         )
--- a/kelpjunction/lab/live.py
+++ b/kelpjunction/lab/live.py
@@ -23,7 +23,7 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.lab.node_settings import LabPlatform, NodePlace, node_settings
-from kelpjunction.lab.serving import HOST, WORKER_TIMEOUT, Handle, Refused, ServedStore, machine_handle, serve
+from kelpjunction.lab.serving import HOST, REPORT_RESPONSE_TIMEOUT, Handle, Refused, ServedStore, machine_handle, serve
 from kelpjunction.lab.site import CLOUD_LIMITS, STORE_LIMITS, TEAMS, Site
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.tickets.users import CANCEL_END, TICKETS_PATH
@@ -31,7 +31,7 @@
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
 STATE_PORT, CLOUD_PORT, CONTROL_PORT, GATEWAY_PORT = 379, 443, 70, 90  # above the lab's first port, as the nodes' are
-TICK = timedelta(milliseconds=100)
+STEP_INTERVAL = timedelta(milliseconds=100)
 USER_TIMEOUT = timedelta(seconds=5)
 
 
@@ -93,7 +93,7 @@
 
     def _work(self, worker: WorkerStandIn) -> None:
         while True:
-            gevent.sleep(TICK.total_seconds())
+            gevent.sleep(STEP_INTERVAL.total_seconds())
             worker.step()
 
     # -- nodes --------------------------------------------------------------------
@@ -203,22 +203,22 @@
             return None, {}
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
-        if worker.cut:
-            gevent.sleep(WORKER_TIMEOUT.total_seconds())
+        if worker.partitioned:
+            gevent.sleep(REPORT_RESPONSE_TIMEOUT.total_seconds())
             raise NoResponse("cut")
         address = self._node_address(number)
-        return self._transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), WORKER_TIMEOUT)
+        return self._transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), REPORT_RESPONSE_TIMEOUT)
 
     # -- faults -------------------------------------------------------------------
 
-    def later(self, duration: float, act) -> None:
+    def run_after(self, duration: float, act) -> None:
         if duration:
             gevent.spawn_later(duration, act)
 
     def suspend_node(self, name: str, duration: float) -> None:
         process = self.processes[name]
         os.kill(process.pid, signal.SIGSTOP)
-        self.later(duration, lambda: process.poll() is None and os.kill(process.pid, signal.SIGCONT))
+        self.run_after(duration, lambda: process.poll() is None and os.kill(process.pid, signal.SIGCONT))
 
     def _control(self, method: str, path: str, body: dict) -> Reply:
         if method == "POST":
@@ -245,7 +245,7 @@
             "nodes": {n: "up" if p is not None and p.poll() is None else "down" for n, p in self.processes.items()},
             "leader": self.leader_name(),
             "blocks": {z: (self.store.data.get(f"l/block/{z}") or [{}])[0].get("holder") for z in self.zones},
-            "state": "outage" if self.store.out else "up",
+            "state": "outage" if self.store.is_down else "up",
             "machines": {z: sum(w.alive for w in workers if w.zone == z) for z in self.zones},
             "teams": {t.name: {"cpus": usage[t.name], "guaranteed": t.cpus, "limit": t.cpus_max} for t in self.teams},
             "jobs": jobs,
@@ -257,9 +257,9 @@
         """Let time pass; whether `until` came true."""
         end = time.monotonic() + duration
         while time.monotonic() < end:
-            self.store.expire()
-            self._served_store.wake()
+            self.store.expire_leases()
+            self._served_store.notify_watches()
             if until is not None and until():
                 return True
-            gevent.sleep(TICK.total_seconds())
+            gevent.sleep(STEP_INTERVAL.total_seconds())
         return until is None
--- a/kelpjunction/lab/rules.py
+++ b/kelpjunction/lab/rules.py
@@ -11,7 +11,7 @@
 CANCELLED, DONE = "withdrawn", "done"
 
 
-class Standing(NamedTuple):
+class PlacedTask(NamedTuple):
     """A task on a machine, from its start command until it has exited."""
 
     frond: str
@@ -19,17 +19,17 @@
     zone: str
 
 
-def start_violations(job: dict, start: Standing, spot: bool, mates: Iterable[Standing]) -> list[str]:
+def start_violations(job: dict, start: PlacedTask, spot: bool, other_tasks: Iterable[PlacedTask]) -> list[str]:
     """What a task's start breaks, given what else of its job is on machines (`ran_twice`, `wrong_place`)."""
-    mates = list(mates)
+    other_tasks = list(other_tasks)
     broken = []
-    if others := [mate.machine for mate in mates if mate.frond == start.frond]:
+    if others := [mate.machine for mate in other_tasks if mate.frond == start.frond]:
         broken.append(f"ran_twice: {start.frond} on {start.machine} while on {others}")
     if spot and not job.get("driftwood"):
         broken.append(f"wrong_place: {start.frond} on spot {start.machine}")
     if job.get("bay") not in (None, start.zone):
         broken.append(f"wrong_place: {start.frond} in {start.zone}")
-    zones = [mate.zone for mate in mates]
+    zones = [mate.zone for mate in other_tasks]
     if job.get("together") and any(zone != start.zone for zone in zones):
         broken.append(f"wrong_place: {start.frond} apart from its gang")
     if job.get("apart") and zones.count(start.zone) >= -(-job["fronds"] // 2):
--- a/kelpjunction/lab/scale/checker.py
+++ b/kelpjunction/lab/scale/checker.py
@@ -13,12 +13,12 @@
 from kelpjunction.lab.rules import (
     CANCELLED,
     DONE,
-    Standing,
+    PlacedTask,
     answer_violations,
     quota_violations,
     start_violations,
 )
-from kelpjunction.lab.scale.messages import Event, EventKind
+from kelpjunction.lab.scale.messages import EventKind, TaskEvent
 
 MOST_NAMED = 200  # broken rules that are kept word for word
 
@@ -44,7 +44,7 @@
         self._cancel_s = cancel_s
         self._machines: dict[str, Machine] = {}
         self._jobs: dict[str, dict] = {}
-        self._on: dict[str, list[Standing]] = {}  # by job
+        self._on: dict[str, list[PlacedTask]] = {}  # by job
         self._used: Counter[str] = Counter()  # CPUs, by team
         self._finished: dict[str, set[str]] = {}
         self._asked_to_cancel: set[str] = set()
@@ -65,7 +65,7 @@
         """A process tells events from now on; nothing later is judged until it has told them."""
         self._upto[name] = at
 
-    def told_upto(self, name: str, upto: float, events: list[Event]) -> None:
+    def told_upto(self, name: str, upto: float, events: list[TaskEvent]) -> None:
         """A process has told all its events up to a time."""
         for event in events:
             self._later(event.at, lambda event=event: self._happened(event))
@@ -99,7 +99,7 @@
     def _break(self, violations: list[str]) -> None:
         self.broken += violations[: max(0, MOST_NAMED - len(self.broken))]
 
-    def _happened(self, event: Event) -> None:
+    def _happened(self, event: TaskEvent) -> None:
         if event.kind is EventKind.STARTED:
             self._started(event)
         elif event.kind is EventKind.EXITED:
@@ -110,10 +110,10 @@
             for frond in list(self._machines[event.machine].fronds.elements()):
                 self._left(event.machine, frond)
 
-    def _started(self, event: Event) -> None:
+    def _started(self, event: TaskEvent) -> None:
         ref, machine = _ref(event.frond), self._machines[event.machine]
         job = self._jobs[ref]
-        there = Standing(event.frond, event.machine, machine.zone)
+        there = PlacedTask(event.frond, event.machine, machine.zone)
         mates = self._on.setdefault(ref, [])
         self._break(start_violations(job, there, machine.spot, mates))
         self._break(quota_violations(job, self._used[job["crew"]], self._limits[job["crew"]]))
@@ -167,7 +167,7 @@
 
     # -- at the end ------------------------------------------------------------------
 
-    def unsettled(self) -> list[str]:
+    def unfinished_jobs(self) -> list[str]:
         """Jobs that were accepted and whose last answer is neither done nor cancelled."""
         return [ref for ref, state in self._told.items() if state not in (DONE, CANCELLED)]
 
--- a/kelpjunction/lab/scale/children.py
+++ b/kelpjunction/lab/scale/children.py
@@ -52,7 +52,7 @@
         self._reader.kill()
 
 
-class Orders:
+class CommandStream:
     """The other end, in the process that was started: its first line, and then orders until there are no more."""
 
     def __init__(self) -> None:
--- a/kelpjunction/lab/scale/command.py
+++ b/kelpjunction/lab/scale/command.py
@@ -13,10 +13,10 @@
 
 from kelpjunction.lab.scale.measures import MB
 from kelpjunction.lab.scale.plan import ScaleError, load_plan
-from kelpjunction.lab.scale.run import ScaleRun, Stopped
+from kelpjunction.lab.scale.run import RunAborted, ScaleRun
 from kelpjunction.lab.serving import Refused
 
-WELL, NOT_WELL, WRONG = 0, 1, 2
+EXIT_OK, EXIT_FAILED, EXIT_BAD_PLAN = 0, 1, 2
 MOST_TOLD = 20  # broken rules and problems
 
 
@@ -31,18 +31,18 @@
         run = ScaleRun(plan, port, logs, _shown_by(plan.title, live))
     except (ScaleError, Refused) as error:
         click.echo(f"kelpjunction: {file}: {error}", err=True)
-        return WRONG
+        return EXIT_BAD_PLAN
     try:
         with live:
             run.play()
-    except Stopped as stopped:
+    except RunAborted as stopped:
         run.problems.append(f"stopped: {stopped}")
     except KeyboardInterrupt:
         run.problems.append("stopped by its user")
     finally:
         run.close()
     _tell(run.report(), as_json, out)
-    return WELL if run.well else NOT_WELL
+    return EXIT_OK if run.well else EXIT_FAILED
 
 
 def _shown_by(title: str, live: Live | nullcontext) -> Callable[[dict], None]:
--- a/kelpjunction/lab/scale/hollow.py
+++ b/kelpjunction/lab/scale/hollow.py
@@ -17,11 +17,11 @@
 from geventhttpclient.connectionpool import ConnectionPool
 
 from kelpjunction.clock import seconds
-from kelpjunction.lab.live import TICK, LiveClock
+from kelpjunction.lab.live import STEP_INTERVAL, LiveClock
 from kelpjunction.lab.node_settings import node_number
-from kelpjunction.lab.scale.children import Orders, tell
-from kelpjunction.lab.scale.messages import Batch, Event, EventKind, Order
-from kelpjunction.lab.serving import WORKER_TIMEOUT, machine_handle, serve
+from kelpjunction.lab.scale.children import CommandStream, tell
+from kelpjunction.lab.scale.messages import Batch, EventKind, ProcessCommand, TaskEvent
+from kelpjunction.lab.serving import REPORT_RESPONSE_TIMEOUT, machine_handle, serve
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.transport import HttpTransport, NoResponse
@@ -33,7 +33,7 @@
 REPORT_CONNECTIONS = 1
 
 
-class Moved:
+class ByteCounter:
     """Bytes that this process has sent and received over its counting sockets."""
 
     total = 0
@@ -44,17 +44,17 @@
 
     def recv(self, *args, **how) -> bytes:
         data = super().recv(*args, **how)
-        Moved.total += len(data)
+        ByteCounter.total += len(data)
         return data
 
     def recv_into(self, *args, **how) -> int:
         count = super().recv_into(*args, **how)
-        Moved.total += count
+        ByteCounter.total += count
         return count
 
     def send(self, *args, **how) -> int:
         count = super().send(*args, **how)
-        Moved.total += count
+        ByteCounter.total += count
         return count
 
 
@@ -85,7 +85,7 @@
 
 
 class HollowWorkers:
-    """The workers of this process and what surrounds them (`lab.worker.Surroundings`)."""
+    """The workers of this process and what surrounds them (`lab.worker.WorkerEnvironment`)."""
 
     reports_changes = True
 
@@ -99,7 +99,7 @@
         self._transports: dict[str, CountingTransport] = {}
         self._servers: dict[str, WSGIServer] = {}
         self._jobs: dict[str, dict] = {}
-        self._events: list[Event] = []
+        self._events: list[TaskEvent] = []
         self._gone: list[str] = []
         self._check_ins_ms: list[int] = []
         self._failed_check_ins = 0
@@ -126,26 +126,26 @@
         self._tell(EventKind.CLEARED, worker)
 
     def _tell(self, kind: EventKind, worker: WorkerStandIn, frond: str = "", cause: str = "") -> None:
-        self._events.append(Event(time.monotonic(), kind, worker.name, frond, cause))
+        self._events.append(TaskEvent(time.monotonic(), kind, worker.name, frond, cause))
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
         """Send a report on the worker's own connection, while the others go on."""
-        gevent.spawn(self._carry, worker, worker.life, fields)
+        gevent.spawn(self._carry, worker, worker.restart_count, fields)
 
     def _carry(self, worker: WorkerStandIn, life: int, fields: dict) -> None:
         sent_at = self.clock.now
         transport = self._transports[worker.name]
         try:
             address = self.nodes[worker.node]
-            reply = transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), WORKER_TIMEOUT)
+            reply = transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), REPORT_RESPONSE_TIMEOUT)
         except NoResponse:
             self._failed_check_ins += 1
-            if worker.life == life:
-                worker.unanswered()
+            if worker.restart_count == life:
+                worker.on_no_response()
             return
         self._check_ins_ms.append(round((self.clock.now - sent_at).total_seconds() * 1000))
-        if worker.alive and worker.life == life:
-            worker.answered(fields, sent_at, *reply)
+        if worker.alive and worker.restart_count == life:
+            worker.on_report_response(fields, sent_at, *reply)
 
     def number_of(self, node: str | None) -> int | None:
         """The number of a node by its name."""
@@ -157,14 +157,14 @@
 
     # -- orders ----------------------------------------------------------------
 
-    def obey(self, order: Order, fields: dict) -> None:
+    def handle_command(self, order: ProcessCommand, fields: dict) -> None:
         """Carry out one order of the run."""
-        if order is Order.ADD:
+        if order is ProcessCommand.ADD:
             for machine in fields["machines"]:
                 self._add(**machine)
-        elif order is Order.JOB:
+        elif order is ProcessCommand.JOB:
             self._jobs[fields["ref"]] = fields
-        elif order is Order.DIE:
+        elif order is ProcessCommand.DIE:
             for name in fields["machines"]:
                 self._die(name)
         else:
@@ -175,7 +175,7 @@
         worker = self._workers[name] = WorkerStandIn(self, name, zone, spot)
         worker.address = address
         spread = self.times.report * self.vary((0.0, 1.0))
-        worker.renewed = worker.began_at = seconds(ready)
+        worker.lease_renewed_at = worker.booted_at = seconds(ready)
         worker.next_report = seconds(ready) + spread
         worker.node = self._random.randrange(self.node_count)
         self._transports[name] = CountingTransport(REPORT_CONNECTIONS)
@@ -198,7 +198,7 @@
             for worker in list(self._workers.values()):
                 if worker.up:
                     worker.step()
-            gevent.sleep(TICK.total_seconds())
+            gevent.sleep(STEP_INTERVAL.total_seconds())
 
     def tell_forever(self) -> None:
         """Write what happened, every few milliseconds."""
@@ -208,21 +208,25 @@
                 time.monotonic(),
                 self._events,
                 self._gone,
-                Moved.total - self._counted,
+                ByteCounter.total - self._counted,
                 self._check_ins_ms,
                 self._failed_check_ins,
             )
             self._events, self._gone, self._check_ins_ms, self._failed_check_ins = [], [], [], 0
-            self._counted = Moved.total
+            self._counted = ByteCounter.total
             tell(batch.fields())
 
 
 def main() -> None:
     """Be told who the controllers are, and then obey until there are no more orders."""
-    orders = Orders()
+    orders = CommandStream()
     times = WorkerTimes(**{name: seconds(value) for name, value in orders.first["times"].items()})
     workers = HollowWorkers(orders.first["nodes"], times, orders.first["seed"])
-    orders.run(lambda fields: workers.obey(Order(fields.pop("do")), fields), workers.step_forever, workers.tell_forever)
+    orders.run(
+        lambda fields: workers.handle_command(ProcessCommand(fields.pop("do")), fields),
+        workers.step_forever,
+        workers.tell_forever,
+    )
 
 
 if __name__ == "__main__":
--- a/kelpjunction/lab/scale/measures.py
+++ b/kelpjunction/lab/scale/measures.py
@@ -31,7 +31,7 @@
     busiest_cpu_s: float = 0.0
     most_memory_mb: float = 0.0
 
-    def told(self, lasted_s: float) -> dict[str, float]:
+    def to_dict(self, lasted_s: float) -> dict[str, float]:
         """This as shares of a core over the run."""
         return {
             "processes": self.processes,
--- a/kelpjunction/lab/scale/messages.py
+++ b/kelpjunction/lab/scale/messages.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Order(StrEnum):
+class ProcessCommand(StrEnum):
     """What the run tells a process of hollow workers."""
 
     ADD = "add"  # machines, each with its name, zone, kind, address and the time at which it is up
@@ -21,7 +21,7 @@
     CLEARED = "cleared"  # all tasks of a machine are gone
 
 
-class Event(NamedTuple):
+class TaskEvent(NamedTuple):
     """Something that happened on a machine, at a time of the steady clock in seconds, which all processes share."""
 
     at: float
@@ -35,7 +35,7 @@
     """What a process tells every few milliseconds: all events up to a time, and its figures since the last batch."""
 
     upto: float
-    events: list[Event]
+    events: list[TaskEvent]
     gone: list[str]  # machines that it was told to let die
     bytes_moved: int  # between its workers and the controllers, both ways, headers included
     check_ins_ms: list[int]
@@ -48,5 +48,5 @@
     @classmethod
     def of(cls, fields: dict) -> "Batch":
         """A batch as it was read from a line."""
-        events = [Event(at, EventKind(kind), *rest) for at, kind, *rest in fields.pop("events")]
+        events = [TaskEvent(at, EventKind(kind), *rest) for at, kind, *rest in fields.pop("events")]
         return cls(events=events, **fields)
--- a/kelpjunction/lab/scale/run.py
+++ b/kelpjunction/lab/scale/run.py
@@ -17,7 +17,7 @@
 from kelpjunction.lab.scale.children import Child
 from kelpjunction.lab.scale.controllers import Controllers
 from kelpjunction.lab.scale.measures import MB, Measures, ProcessMeter, RoleUse, summary
-from kelpjunction.lab.scale.messages import Batch, Order
+from kelpjunction.lab.scale.messages import Batch, ProcessCommand
 from kelpjunction.lab.scale.plan import MEMORY_SHARE, Fault, ScalePlan
 from kelpjunction.lab.scale.users import Users
 from kelpjunction.lab.serving import HOST, serve
@@ -34,7 +34,7 @@
 STATE = "kelpjunction.lab.scale.state"
 
 
-class Stopped(Exception):
+class RunAborted(Exception):
     """The run has stopped itself at one of its bounds; the text says which."""
 
 
@@ -48,7 +48,7 @@
         self.address = ""
         self.alive = True
         # Set by the cloud's stand-in to when the machine is up.
-        self.next_report = self.renewed = self.began_at = run.clock.now
+        self.next_report = self.lease_renewed_at = self.booted_at = run.clock.now
 
     def die(self) -> None:
         """Be gone, with all that is on the machine, once this returns."""
@@ -141,9 +141,9 @@
         return address
 
     def _add_soon(self, machine: HollowMachine, address: str) -> None:
-        ready = machine.began_at.total_seconds()
+        ready = machine.booted_at.total_seconds()
         fields = {"name": machine.name, "zone": machine.zone, "spot": machine.spot, "address": address, "ready": ready}
-        self._hollow[machine.process].tell({"do": Order.ADD, "machines": [fields]})
+        self._hollow[machine.process].tell({"do": ProcessCommand.ADD, "machines": [fields]})
 
     def vary(self, spread: tuple[float, float]) -> float:
         return self._boot.uniform(*spread)
@@ -152,7 +152,7 @@
         """Let machines die, and wait until their processes have told it."""
         for machine in machines:
             self._gone[machine.name] = Flag()
-            self._hollow[machine.process].tell({"do": Order.DIE, "machines": [machine.name]})
+            self._hollow[machine.process].tell({"do": ProcessCommand.DIE, "machines": [machine.name]})
         for machine in machines:
             self._gone[machine.name].wait(GONE_WITHIN_S)
 
@@ -162,12 +162,12 @@
         """Tell every process of workers what the job's tasks do; never forgotten, so that a late start is seen."""
         fields = {"ref": job["ref"], "run_s": run_s, "shape": job["shape"], "mark_s": 0.0, "stow_s": 0.0}
         for child in self._hollow:
-            child.tell({"do": Order.JOB} | fields)
+            child.tell({"do": ProcessCommand.JOB} | fields)
 
     # -- playing ------------------------------------------------------------------------
 
     def play(self) -> None:
-        """Play the plan to its end; raises `Stopped` at a bound."""
+        """Play the plan to its end; raises `RunAborted` at a bound."""
         began = time.monotonic()
         for number in range(self.plan.workers.count):
             self.cloud.add(self.zones[number % len(self.zones)], False, self.clock.now)
@@ -190,12 +190,12 @@
         self.users.end()
         self._let_pass(began, played_from, lambda: self.users.at_work == 0)
         gevent.sleep(STEP_S)
-        self.problems += [f"{ref} is not over" for ref in self.checker.unsettled()]
+        self.problems += [f"{ref} is not over" for ref in self.checker.unfinished_jobs()]
 
     def _wait_for_leader(self, began: float) -> None:
         while not self._state.get("leader"):
             if time.monotonic() - began > READY_WITHIN_S:
-                raise Stopped(f"no controller leads after {READY_WITHIN_S:.0f} s")
+                raise RunAborted(f"no controller leads after {READY_WITHIN_S:.0f} s")
             gevent.sleep(STEP_S)
         gevent.sleep(self.plan.settle.total_seconds())
 
@@ -208,11 +208,11 @@
             self.checker.check_cancelled(time.monotonic())
             self._progress(self._status(time.monotonic() - played_from, memory))
             if not all(child.runs for child in (*self._hollow, self._store)):
-                raise Stopped("a process of the stand-ins has ended by itself")
+                raise RunAborted("a process of the stand-ins has ended by itself")
             if memory > most:
-                raise Stopped(f"its processes hold {memory:.0f} MB, half of this machine's memory")
+                raise RunAborted(f"its processes hold {memory:.0f} MB, half of this machine's memory")
             if time.monotonic() - began > self.plan.limit.total_seconds():
-                raise Stopped(f"its time limit of {self.plan.limit.total_seconds():.0f} s is over")
+                raise RunAborted(f"its time limit of {self.plan.limit.total_seconds():.0f} s is over")
 
     def _status(self, passed: float, memory: float) -> dict:
         lately = [self.measures.starts_in_second.get(int(time.monotonic()) - n, 0) for n in (1, 2, 3)]
@@ -236,7 +236,7 @@
             self._store.tell({"do": "outage", "on": True})
             self._after(lasting, lambda: self._store.tell({"do": "outage", "on": False}))
         elif name == "restart-workers":
-            self._hollow[0].tell({"do": Order.RESTART})
+            self._hollow[0].tell({"do": ProcessCommand.RESTART})
         elif name in ("lose-rack", "lose-zone"):
             self._lose(name, lasting)
         elif leader is None:
@@ -262,8 +262,8 @@
             first = self._random.randrange(max(1, len(there) - self.plan.workers.rack))
             there = there[first : first + self.plan.workers.rack]
         else:
-            self.cloud.closed.add(zone)
-            self._after(lasting, lambda: self.cloud.closed.discard(zone))
+            self.cloud.zones_without_capacity.add(zone)
+            self._after(lasting, lambda: self.cloud.zones_without_capacity.discard(zone))
         for machine in there:
             machine.alive = False
         self.let_die(there)
@@ -305,7 +305,7 @@
             "failed_polls": measures.failed_polls,
             "failed_check_ins": measures.failed_check_ins,
             "given_up": self.users.gave_up,
-            "roles": {role: use.told(lasted) for role, use in self.use.items()},
+            "roles": {role: use.to_dict(lasted) for role, use in self.use.items()},
             "broken": self.checker.broken,
             "problems": self.problems,
         }
--- a/kelpjunction/lab/scale/state.py
+++ b/kelpjunction/lab/scale/state.py
@@ -6,8 +6,8 @@
 
 import gevent
 
-from kelpjunction.lab.live import TICK, LiveClock
-from kelpjunction.lab.scale.children import Orders, tell
+from kelpjunction.lab.live import STEP_INTERVAL, LiveClock
+from kelpjunction.lab.scale.children import CommandStream, tell
 from kelpjunction.lab.serving import ServedStore, serve
 from kelpjunction.lab.store import StoreStandIn
 from kelpjunction.leadership import LEADER_KEY
@@ -37,11 +37,11 @@
 
         return handle
 
-    def obey(self, fields: dict) -> None:
+    def handle_command(self, fields: dict) -> None:
         """An outage begins or ends, or a controller is cut off or let in again."""
         if fields["do"] == "outage":
             self._store.outage(fields["on"])
-            self._served.wake()
+            self._served.notify_watches()
         elif fields["on"]:
             self._cut.add(fields["number"])
         else:
@@ -50,9 +50,9 @@
     def tick_forever(self) -> None:
         """End leases that were not renewed, and let watches see it."""
         while True:
-            gevent.sleep(TICK.total_seconds())
-            self._store.expire()
-            self._served.wake()
+            gevent.sleep(STEP_INTERVAL.total_seconds())
+            self._store.expire_leases()
+            self._served.notify_watches()
 
     def tell_forever(self) -> None:
         """Write what was asked of the service and who leads."""
@@ -60,9 +60,9 @@
             gevent.sleep(TELL_EVERY_S)
             lead = self._store.data.get(LEADER_KEY)
             figures = {
-                "changes": self._store.applied,
+                "changes": self._store.applied_changes,
                 "requests": self._requests,
-                "refused": self._store.refused,
+                "refused": self._store.rejected_requests,
                 "keys": len(self._store.data),
                 "leader": lead[0]["node"] if lead else None,
             }
@@ -71,9 +71,9 @@
 
 def main() -> None:
     """Be told the ports and rates, and then obey until there are no more orders."""
-    orders = Orders()
+    orders = CommandStream()
     process = StateProcess(orders.first["ports"], StoreLimits(**orders.first["limits"]))
-    orders.run(process.obey, process.tick_forever, process.tell_forever)
+    orders.run(process.handle_command, process.tick_forever, process.tell_forever)
 
 
 if __name__ == "__main__":
--- a/kelpjunction/lab/scale/users.py
+++ b/kelpjunction/lab/scale/users.py
@@ -21,7 +21,7 @@
 
 POLL_EVERY_S = 5.0
 RETRY_AFTER_S = 1.0
-GIVE_UP_AFTER_S = 60.0
+SUBMIT_TIMEOUT_S = 60.0
 POLL_TIMEOUT = timedelta(seconds=2)
 URGENT = "prod"
 RUN_SPREAD = (0.5, 1.5)  # of the run time that a kind of job says
@@ -121,7 +121,7 @@
     def _submit(self, job: dict, began: float) -> bool:
         """Submit until it is accepted; whether it was within the time that users take."""
         body = orjson.dumps(job)
-        while time.monotonic() - began < GIVE_UP_AFTER_S:
+        while time.monotonic() - began < SUBMIT_TIMEOUT_S:
             status, _ = self._ask("POST", JOBS_PATH, body, job["ref"], USER_TIMEOUT)
             if status in (200, 201):
                 self._measures.submit.record_value(_ms(began))
--- a/kelpjunction/lab/attendance.py
+++ b/kelpjunction/lab/service_levels.py
@@ -11,14 +11,14 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-FORGOTTEN_AFTER = timedelta(seconds=75)
-LARGEST_WITHIN = timedelta(minutes=4)
+MAX_UNANSWERED_TIME = timedelta(seconds=75)
+LARGEST_JOBS_START_LIMIT = timedelta(minutes=4)
 LARGEST_SHARE = 0.1  # the cut: this part of a class's jobs, by what they ask for in all, and all that ask as much
-LEAST_SERVED = 0.5
+MIN_STARTED_FRACTION = 0.5
 
 
 @dataclass(slots=True)
-class _Life:
+class _JobHistory:
     """One job, as its user saw it."""
 
     klass: str
@@ -34,7 +34,7 @@
     begun_at: timedelta | None = None
 
 
-class Served(NamedTuple):
+class ServiceLevel(NamedTuple):
     """A class, a team, or a class's largest jobs: how many were accepted, how many began, and who began late."""
 
     name: str
@@ -43,24 +43,24 @@
     late: tuple[str, ...]
 
     @property
-    def enough(self) -> bool:
-        return not self.late and self.begun >= self.jobs * LEAST_SERVED
+    def is_met(self) -> bool:
+        return not self.late and self.begun >= self.jobs * MIN_STARTED_FRACTION
 
 
-class Attendance:
+class ServiceLevelTracker:
     """Told by a site of each submission, question, answer and start."""
 
     def __init__(self) -> None:
-        self._lives: dict[str, _Life] = {}
+        self._lives: dict[str, _JobHistory] = {}
         self._troubles_over: timedelta | None = None
-        self.longest = timedelta()  # that a job went unanswered once all troubles were over
-        self.forgotten: dict[str, timedelta] = {}  # jobs, and for how long nothing about them was answered
+        self.longest_unanswered = timedelta()  # that a job went unanswered once all troubles were over
+        self.unanswered_jobs: dict[str, timedelta] = {}  # jobs, and for how long nothing about them was answered
 
     def submitted(self, job: dict, limit: int, now: timedelta) -> None:
         """A first attempt to submit; `limit` is how many of its tasks its team may run at once."""
         each = job.get("accelerators") or job["cpus"]
         needed = min(job["fronds"], limit) if job["shape"] == "batch" else job["fronds"]
-        life = _Life(job["stripe"], job["crew"], each * job["fronds"], now, needed, job["shape"] != "batch")
+        life = _JobHistory(job["stripe"], job["crew"], each * job["fronds"], now, needed, job["shape"] != "batch")
         self._lives.setdefault(job["ref"], life)
 
     def accepted(self, ref: str) -> None:
@@ -71,7 +71,7 @@
         if life := self._lives.get(ref):
             life.cancelled = True
 
-    def troubles_over(self, now: timedelta) -> None:
+    def on_faults_ended(self, now: timedelta) -> None:
         """The last trouble has ended: from now on every question counts."""
         self._troubles_over = now
         for life in self._lives.values():
@@ -85,9 +85,9 @@
         life.asked_at = now if life.asked_at is None else life.asked_at
         unanswered = now - life.asked_at
         if life.accepted:
-            self.longest = max(self.longest, unanswered)
-            if unanswered >= FORGOTTEN_AFTER:
-                self.forgotten[ref] = unanswered
+            self.longest_unanswered = max(self.longest_unanswered, unanswered)
+            if unanswered >= MAX_UNANSWERED_TIME:
+                self.unanswered_jobs[ref] = unanswered
         if answered:
             life.asked_at = None
 
@@ -106,7 +106,7 @@
         if life is not None and life.begun_at is None:
             life.begun_at = now
 
-    def served(self, now: timedelta) -> list[Served]:
+    def service_levels(self, now: timedelta) -> list[ServiceLevel]:
         """By class, team and class's largest jobs; jobs cancelled before they began are left out."""
         lives = {
             ref: life
@@ -128,9 +128,9 @@
         for name, refs in (groups | largest).items():
             begun = [r for r in refs if lives[r].begun_at is not None]
             late = tuple(r for r in refs if self._late(lives[r], now)) if name in largest else ()
-            rows.append(Served(name, len(refs), len(begun), late))
+            rows.append(ServiceLevel(name, len(refs), len(begun), late))
         return rows
 
-    def _late(self, life: _Life, now: timedelta) -> bool:
+    def _late(self, life: _JobHistory, now: timedelta) -> bool:
         began = now if life.begun_at is None else life.begun_at
-        return began - life.submitted_at > LARGEST_WITHIN
+        return began - life.submitted_at > LARGEST_JOBS_START_LIMIT
--- a/kelpjunction/lab/serving.py
+++ b/kelpjunction/lab/serving.py
@@ -14,7 +14,9 @@
 from kelpjunction.transport import Reply
 
 HOST = "127.0.0.1"
-WORKER_TIMEOUT = timedelta(seconds=4)  # that a worker waits for the answer to its report, and others for its own
+REPORT_RESPONSE_TIMEOUT = timedelta(
+    seconds=4
+)  # that a worker waits for the answer to its report, and others for its own
 REASONS = {200: "200 OK", 400: "400 Bad Request", 404: "404 Not Found", 409: "409 Conflict"}
 
 Handle = Callable[[str, str, dict], Reply]
@@ -62,9 +64,9 @@
     """
 
     def handle(method: str, path: str, body: dict) -> Reply:
-        if not worker.up or worker.cut:
-            wait(WORKER_TIMEOUT.total_seconds())
-            if not worker.up or worker.cut:
+        if not worker.up or worker.partitioned:
+            wait(REPORT_RESPONSE_TIMEOUT.total_seconds())
+            if not worker.up or worker.partitioned:
                 return Reply(503, {})
         return worker.handle(method, path, body)
 
@@ -83,16 +85,16 @@
         reply = self.store.handle(method, path, body)
         if not path.startswith("/follow"):
             if method != "GET":
-                self.wake()
+                self.notify_watches()
             return reply
         wait = int(path.rpartition("hold_ms=")[2].partition("&")[0] or 0) / 1000
         until = time.monotonic() + wait
         while reply.status == 200 and not reply.fields["news"] and time.monotonic() < until:
             self._news.wait(max(0.0, until - time.monotonic()))
-            reply = self.store.again(path)
+            reply = self.store.poll_watch(path)
         return reply
 
-    def wake(self) -> None:
+    def notify_watches(self) -> None:
         """Let every watch look for news."""
         self._news.set()
         self._news.clear()
--- a/kelpjunction/lab/site.py
+++ b/kelpjunction/lab/site.py
@@ -8,12 +8,12 @@
 import orjson
 
 from kelpjunction.clock import seconds
-from kelpjunction.lab.attendance import Attendance
 from kelpjunction.lab.cloud import CloudStandIn
-from kelpjunction.lab.idle import Idle
 from kelpjunction.lab.node_settings import node_number
-from kelpjunction.lab.rules import Standing, answer_violations, quota_violations, start_violations
+from kelpjunction.lab.rules import PlacedTask, answer_violations, quota_violations, start_violations
+from kelpjunction.lab.service_levels import ServiceLevelTracker
 from kelpjunction.lab.serving import Refused
+from kelpjunction.lab.starvation import StarvationCheck
 from kelpjunction.lab.store import USUAL_LIMITS, StoreStandIn
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.settings import CloudLimits, Team, WorkerTimes
@@ -57,13 +57,13 @@
         self.cloud = CloudStandIn(self, capacity)
         self.jobs: dict[str, dict] = {}
         self.told_cancelled: dict[str, timedelta] = {}
-        self.told: dict[str, str] = {}
+        self.last_told_state: dict[str, str] = {}
         self.asked_to_cancel: set[str] = set()
         self.finished: set[str] = set()
         self.starts: list[str] = []
         self.broken: list[str] = []
-        self.attendance = Attendance()
-        self.idle = Idle()
+        self.service_level_tracker = ServiceLevelTracker()
+        self.starvation_check = StarvationCheck()
         self.started_late: list[str] = []  # tasks started after their user was told of the cancellation: counted only
 
     def ask(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int, dict]:
@@ -90,9 +90,9 @@
         try:
             status, answer = self.reach_node(worker, worker.node, fields)
         except NoResponse:
-            worker.unanswered()
+            worker.on_no_response()
             return
-        worker.answered(fields, sent_at, status, answer)
+        worker.on_report_response(fields, sent_at, status, answer)
 
     @property
     def node_names(self) -> tuple[str, ...]:
@@ -116,7 +116,7 @@
         """Let a running node stand still for `duration` seconds, while time goes on for all others."""
         raise NotImplementedError
 
-    def later(self, duration: float, act: Callable[[], None]) -> None:
+    def run_after(self, duration: float, act: Callable[[], None]) -> None:
         """Do this in `duration` seconds; never if that is 0."""
         raise NotImplementedError
 
@@ -144,7 +144,7 @@
         self.check_fault(do, target)
         if do == "outage":
             self.store.outage(True)
-            self.later(duration, lambda: self.store.outage(False))
+            self.run_after(duration, lambda: self.store.outage(False))
         elif do == "lose":
             self.lose(target)
         else:
@@ -155,7 +155,7 @@
                     self.suspend_node(name, duration)
                 else:
                     self.kill_node(name)
-                    self.later(duration, lambda name=name: self.runs(name) or self.start_node(name))
+                    self.run_after(duration, lambda name=name: self.runs(name) or self.start_node(name))
 
     def _struck(self, do: str, target: str) -> list[str]:
         """The nodes that a fault falls on now."""
@@ -219,17 +219,17 @@
             "together": False, "apart": False, "driftwood": False, "mark_s": 0.0, "stow_s": 0.0,
         } | fields  # fmt: skip
         if ref not in self.jobs:
-            self.attendance.submitted(job, self._limit_of(job), self.clock.now)
+            self.service_level_tracker.submitted(job, self._limit_of(job), self.clock.now)
         self.jobs[ref] = job
         status, answer = self._asked("POST", JOBS_PATH, orjson.dumps(job), node)
-        self.attendance.asked(ref, status in (200, 201), self.clock.now)
-        if status == 201 and ref in self.told:
+        self.service_level_tracker.asked(ref, status in (200, 201), self.clock.now)
+        if status == 201 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref} accepted twice")
         if status in (200, 201):
-            self.told.setdefault(ref, "accepted")
-            self.attendance.accepted(ref)
+            self.last_told_state.setdefault(ref, "accepted")
+            self.service_level_tracker.accepted(ref)
             self._hear(ref, answer)
-        elif status in (400, 422) and ref in self.told:
+        elif status in (400, 422) and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref} was accepted and is refused now")
         return status
 
@@ -241,8 +241,8 @@
     def poll(self, ref: str, node: str | None = None) -> str | None:
         """A job's state as a user is told it, checked against what was told before."""
         status, answer = self._asked("GET", f"{JOBS_PATH}/{ref}", b"", node)
-        self.attendance.asked(ref, status == 200, self.clock.now)
-        if status == 404 and ref in self.told:
+        self.service_level_tracker.asked(ref, status == 200, self.clock.now)
+        if status == 404 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref}")
         if status != 200:
             return None
@@ -254,28 +254,28 @@
     def _hear(self, ref: str, answer: dict) -> str:
         """Any answer that tells how a job stands, checked against what was told before."""
         state = answer["tide"]
-        before = self.told.get(ref)
+        before = self.last_told_state.get(ref)
         self.broken += answer_violations(ref, state, before, ref in self.asked_to_cancel)
         if state == "done" and (missing := self._unfinished(ref)):
             self.broken.append(f"not_done: {missing}")
         if state in ("done", "withdrawn"):
-            self.told[ref] = state
+            self.last_told_state[ref] = state
         if state == "done":
-            self.attendance.ended(ref, self.clock.now)
+            self.service_level_tracker.ended(ref, self.clock.now)
         return state
 
     def abort(self, ref: str, node: str | None = None) -> int | None:
         self.asked_to_cancel.add(ref)
         status, answer = self._asked("POST", f"{JOBS_PATH}/{ref}{ABORT_END}", b"", node)
-        self.attendance.asked(ref, status == 200, self.clock.now)
-        if status == 404 and ref in self.told:
+        self.service_level_tracker.asked(ref, status == 200, self.clock.now)
+        if status == 404 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref}")
         if status == 200 and self._hear(ref, answer) == "withdrawn":
             self.told_cancelled.setdefault(ref, self.clock.now)
-            self.attendance.cancelled(ref)
+            self.service_level_tracker.cancelled(ref)
         return status
 
-    def look(self, ref: str) -> list[str | None]:
+    def ask_all_nodes(self, ref: str) -> list[str | None]:
         """A user asks every node at once how a job stands, by a question and by repeating the submission."""
         job = self.jobs[ref]
         told = []
@@ -306,14 +306,14 @@
         ref = frond.partition("/")[0]
         job = self.job(ref)
         self.starts.append(frond)
-        mates = [Standing(f, w.name, w.zone) for f, w in self._live() if f.startswith(ref + "/")]
-        there = Standing(frond, worker.name, worker.zone)
+        mates = [PlacedTask(f, w.name, w.zone) for f, w in self._live() if f.startswith(ref + "/")]
+        there = PlacedTask(frond, worker.name, worker.zone)
         self.broken += start_violations(job, there, worker.spot, mates)
         self._check_quota(job)
         self._check_cancelled(ref)
         if ref in self.told_cancelled:
             self.started_late.append(frond)
-        self.attendance.started(ref, int(frond.partition("/")[2]), len(mates) + 1, self.clock.now)
+        self.service_level_tracker.started(ref, int(frond.partition("/")[2]), len(mates) + 1, self.clock.now)
         run = seconds(job.get("run_s", job.get("expect_s") or 10.0)) / self.speed * self.vary(RUN_SPREAD)
         ready = self.clock.now + seconds(1) / self.speed
         ends = None if job["shape"] == "service" else ready + run
--- a/kelpjunction/lab/idle.py
+++ b/kelpjunction/lab/starvation.py
@@ -13,20 +13,20 @@
     from kelpjunction.lab.site import Site
     from kelpjunction.lab.worker import WorkerStandIn
 
-LEFT_AFTER = timedelta(seconds=90)
+STARVATION_LIMIT = timedelta(seconds=90)
 
 
-class Idle:
+class StarvationCheck:
     """Looked at about once a second by a site; judges nothing before the troubles are over."""
 
     def __init__(self) -> None:
         self._since: dict[str, tuple[timedelta, int]] = {}  # and how many starts the job had had by then
-        self.judging = False
-        self.left: dict[str, timedelta] = {}  # jobs, and for how long at the most they waited beside room
+        self.enabled = False
+        self.starved_jobs: dict[str, timedelta] = {}  # jobs, and for how long at the most they waited beside room
 
-    def look(self, site: "Site") -> None:
+    def observe(self, site: "Site") -> None:
         """Note who could start now, and for how long that has been so without a break or a start."""
-        if not self.judging:
+        if not self.enabled:
             return
         now = site.clock.now
         starts = Counter(frond.partition("/")[0] for frond in site.starts)
@@ -35,8 +35,8 @@
             since, seen = before.get(ref, (now, starts[ref]))
             self._since[ref] = (since, seen) if seen == starts[ref] else (now, starts[ref])
         for ref, (since, _) in self._since.items():
-            if now - since >= LEFT_AFTER:
-                self.left[ref] = now - since
+            if now - since >= STARVATION_LIMIT:
+                self.starved_jobs[ref] = now - since
 
     def _able(self, site: "Site") -> Iterator[str]:
         """Jobs of which a task, or the whole gang, waits while there is room for it."""
@@ -44,7 +44,14 @@
         free = {
             worker.name: [site.cloud.cpus, site.cloud.memory_gb, worker]
             for worker, _ in site.cloud.machines.values()
-            if worker.up and not (worker.cut or worker.sick or worker.one_way or worker.hung or worker.notice)
+            if worker.up
+            and not (
+                worker.partitioned
+                or worker.fails_all_tasks
+                or worker.message_loss
+                or worker.hang_period
+                or worker.notice_at
+            )
         }
         used: Counter[str] = Counter()
         zones: dict[str, Counter[str]] = {}
@@ -58,7 +65,7 @@
         there = Counter(ref for ref, _ in placed)
         done = Counter(frond.partition("/")[0] for frond in site.finished)
         limits = {t.name: t.cpus_max for t in site.teams}
-        for ref, told in site.told.items():
+        for ref, told in site.last_told_state.items():
             job = site.jobs[ref]
             if told != "accepted" or ref in site.asked_to_cancel:
                 continue
--- a/kelpjunction/lab/store.py
+++ b/kelpjunction/lab/store.py
@@ -16,9 +16,9 @@
 
 MAX_CHARACTER = "\U0010ffff"
 USUAL_LIMITS = StoreLimits(rps=250.0, write_rps=100.0, value_bytes=8192, txn_ops=12)
-MOST_BYTES = 64 * 1024  # of a transaction
-GUARDS_FOR_EACH = 4  # conditions, for each change that a transaction may have
-KEPT_CHANGES = 10_000  # that a watch may lag behind, as PROTOCOL says
+MAX_TRANSACTION_BYTES = 64 * 1024  # of a transaction
+MAX_GUARDS_PER_CHANGE = 4  # conditions, for each change that a transaction may have
+HISTORY_LIMIT_CHANGES = 10_000  # that a watch may lag behind, as PROTOCOL says
 
 
 class StoreStandIn:
@@ -29,14 +29,14 @@
         self.data = {}
         self.revision = 0
         self.history: list[tuple[int, str, object]] = []
-        self.holds: dict[int, tuple[timedelta, timedelta]] = {}
-        self.next_hold = 1
-        self.out = False
+        self.leases: dict[int, tuple[timedelta, timedelta]] = {}
+        self.next_lease_id = 1
+        self.is_down = False
         self.limits: StoreLimits | None = None  # rates to hold the nodes to, if any
-        self.refusing = False  # everything, as if others took the whole rate
-        self.refused = self.applied = 0  # requests answered 429, and changes applied
+        self.reject_all = False  # everything, as if others took the whole rate
+        self.rejected_requests = self.applied_changes = 0  # requests answered 429, and changes applied
         self._left: dict[str, tuple[timedelta, float]] = {}
-        self.forgotten = 0  # changes up to this revision are not told any more
+        self.compacted_revision = 0  # changes up to this revision are not told any more
         self.on_set: Callable[[str, Any], None] = lambda key, value: None  # told of each change as it is applied
 
     @property
@@ -54,14 +54,14 @@
         self._data = SortedDict(entries)
 
     def handle(self, method: str, path: str, body: dict) -> Reply:
-        if self.out:
+        if self.is_down:
             return Reply(503, {})
-        self.expire()
+        self.expire_leases()
         changes = len(body.get("then", ()))
-        if self.refusing or not self._admits(changes):
-            self.refused += 1
+        if self.reject_all or not self._admits(changes):
+            self.rejected_requests += 1
             return Reply(429, {})
-        self.applied += changes
+        self.applied_changes += changes
         url = urlsplit(path)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         if url.path == "/commit":
@@ -69,15 +69,15 @@
         if url.path == "/follow":
             return self._news(query["prefix"], int(query["since"]))
         if url.path == "/holds":
-            hold, self.next_hold = self.next_hold, self.next_hold + 1
+            hold, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
             ttl = timedelta(milliseconds=body["ttl_ms"])
-            self.holds[hold] = (self.clock.now + ttl, ttl)
+            self.leases[hold] = (self.clock.now + ttl, ttl)
             return Reply(200, {"mooring": hold})
         if url.path.startswith("/holds/"):
             hold = int(url.path.split("/")[2])
-            if hold not in self.holds:
+            if hold not in self.leases:
                 return Reply(404, {})
-            self.holds[hold] = (self.clock.now + self.holds[hold][1], self.holds[hold][1])
+            self.leases[hold] = (self.clock.now + self.leases[hold][1], self.leases[hold][1])
             return Reply(200, {"mooring": hold})
         if url.path == "/store":
             return self._page(query["prefix"], query.get("since", ""), int(query["most"]))
@@ -86,16 +86,16 @@
             return Reply(404, {"ledger": self.revision})
         return Reply(200, {"key": key, "data": self.data[key][0], "stamp": self.data[key][1]})
 
-    def again(self, path: str) -> Reply:
+    def poll_watch(self, path: str) -> Reply:
         """What an open watch would be told now: it stays open in an outage, and opening it alone was a request."""
         query = {k: v[0] for k, v in parse_qs(urlsplit(path).query).items()}
-        if self.out:
+        if self.is_down:
             return Reply(200, {"ledger": int(query["since"]), "news": []})
         return self._news(query["prefix"], int(query["since"]))
 
     def _news(self, prefix: str, since: int) -> Reply:
         """The changes below a prefix after a revision."""
-        if since < self.forgotten:
+        if since < self.compacted_revision:
             return Reply(410, {"ledger": self.revision})
         news = [
             {"delete": k, "stamp": r} if v is None else {"set": k, "data": v, "stamp": r}
@@ -126,13 +126,13 @@
 
     def _commit(self, body: dict) -> Reply:
         assert len(body.get("then", ())) <= self.bounds.txn_ops
-        assert len(orjson.dumps(body)) <= MOST_BYTES
-        assert len(body["guards"]) <= GUARDS_FOR_EACH * self.bounds.txn_ops
+        assert len(orjson.dumps(body)) <= MAX_TRANSACTION_BYTES
+        assert len(body["guards"]) <= MAX_GUARDS_PER_CHANGE * self.bounds.txn_ops
         failed = [g["key"] for g in body["guards"] if self.data.get(g["key"], (0, 0))[1] != g["stamp"]]
         if failed:
             return Reply(409, {"failed": failed, "ledger": self.revision})
         then = body.get("then", ())
-        if any("mooring" in t and t["mooring"] not in self.holds for t in then):
+        if any("mooring" in t and t["mooring"] not in self.leases for t in then):
             return Reply(400, {"error": "no such lease"})
         if then:
             self.revision += 1
@@ -151,28 +151,30 @@
         else:
             self.data[key] = (value, self.revision, hold)
         self.history.append((self.revision, key, value))
-        if len(self.history) > 2 * KEPT_CHANGES:
+        if len(self.history) > 2 * HISTORY_LIMIT_CHANGES:
             self._trim()
         self.on_set(key, value)
 
     def _trim(self) -> None:
         """Forget all but the latest changes; what was forgotten of is forgotten up to a whole revision."""
-        self.forgotten = self.history[-KEPT_CHANGES][0]
-        self.history = [change for change in self.history[-KEPT_CHANGES:] if change[0] > self.forgotten]
+        self.compacted_revision = self.history[-HISTORY_LIMIT_CHANGES][0]
+        self.history = [
+            change for change in self.history[-HISTORY_LIMIT_CHANGES:] if change[0] > self.compacted_revision
+        ]
 
-    def expire(self) -> None:
-        for hold, (end, _) in list(self.holds.items()):
+    def expire_leases(self) -> None:
+        for hold, (end, _) in list(self.leases.items()):
             if self.clock.now > end:
-                del self.holds[hold]
+                del self.leases[hold]
                 for key in [k for k, v in self.data.items() if v[2] == hold]:
                     self.revision += 1
                     self._set(key, None, None)
 
-    def forget_changes(self) -> None:
+    def compact(self) -> None:
         """As the service does with all but its latest changes."""
-        self.forgotten, self.history = self.revision, []
+        self.compacted_revision, self.history = self.revision, []
 
     def outage(self, on: bool) -> None:
-        if self.out and not on:
-            self.holds = {h: (self.clock.now + ttl, ttl) for h, (_, ttl) in self.holds.items()}
-        self.out = on
+        if self.is_down and not on:
+            self.leases = {h: (self.clock.now + ttl, ttl) for h, (_, ttl) in self.leases.items()}
+        self.is_down = on
--- a/kelpjunction/lab/farm.py
+++ b/kelpjunction/lab/ticket_simulation.py
@@ -16,29 +16,39 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX
-from kelpjunction.lab.account import Account
+from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.lab.world import World
-from kelpjunction.ledger.accounts import Amounts, total
+from kelpjunction.ledger.accounts import ResourceTime, total
 from kelpjunction.ledger.reader import read
 from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
-from kelpjunction.tickets.classes import Runs, TicketClass, TicketSettings
+from kelpjunction.tickets.classes import RerunPolicy, TicketClass, TicketSettings
 from kelpjunction.tickets.gateway import Gateway
 from kelpjunction.tickets.plan import Plan
-from kelpjunction.tickets.records import ENDED_PREFIX, HEAD_PREFIX, PART_PREFIX, TICKET_PREFIX, part_key, unpack
+from kelpjunction.tickets.records import ENDED_PREFIX, HEAD_PREFIX, PART_PREFIX, TICKET_PREFIX, decode_plan, part_key
 from kelpjunction.tickets.users import is_final
 from kelpjunction.transport import Reply
 
 BROKEN_IMAGE = "broken"  # a job with this image fails wherever it is put
 TEAMS = (Team("farm", 16.0, 0.0, None, None), Team("native", 16.0, 0.0, 40.0, None))
-PAUSE = seconds(20)
+RERUN_PAUSE = seconds(20)
 
 
-def ticket_class(name: str, runs: Runs, finish: bool = False, remember: timedelta = timedelta(days=31)) -> TicketClass:
-    return TicketClass(name, runs, times=2, pause=PAUSE, remember=remember, failures=3, finish=finish)
+def ticket_class(
+    name: str, runs: RerunPolicy, finish: bool = False, remember: timedelta = timedelta(days=31)
+) -> TicketClass:
+    return TicketClass(
+        name,
+        runs,
+        max_runs=2,
+        min_rerun_interval=RERUN_PAUSE,
+        retention=remember,
+        failure_limit=3,
+        continue_on_failure=finish,
+    )
 
 
-CLASSES = {runs.value: ticket_class(runs.value, runs) for runs in Runs} | {
-    "finish": ticket_class("finish", Runs.ONCE, finish=True)
+CLASSES = {runs.value: ticket_class(runs.value, runs) for runs in RerunPolicy} | {
+    "finish": ticket_class("finish", RerunPolicy.ONCE, finish=True)
 }
 
 
@@ -46,16 +56,16 @@
     """A gateway's process ended at this request."""
 
 
-class FarmWorld(World):
+class TicketWorld(World):
     """The simulated world with ticket gateways; the wire's spellings are the nodes' own."""
 
     def __init__(self, gateways: int = 2, classes: dict[str, TicketClass] = CLASSES, **world: Any) -> None:
         super().__init__(**world)
         self.classes = classes
         self.gateways: dict[str, Gateway | None] = {}
-        self.asleep: dict[str, timedelta] = {}
+        self.paused_until: dict[str, timedelta] = {}
         # Whether a gateway ends before or after this request of its is carried out, if at all.
-        self.kill_at = lambda name, path: None
+        self.kill_decision = lambda name, path: None
         for number in range(gateways):
             self.start_gateway(f"gate-{number}")
 
@@ -79,18 +89,18 @@
             super().run(0.1)
             for name, gateway in list(self.gateways.items()):
                 if gateway is not None and self._awake(name):
-                    self.doing(name, lambda gateway=gateway: self._turn(gateway))
+                    self.run_killable(name, lambda gateway=gateway: self._turn(gateway))
             if until is not None and until():
                 return True
         return until is None
 
     def _awake(self, name: str) -> bool:
-        return self.asleep.get(name, self.clock.now) <= self.clock.now
+        return self.paused_until.get(name, self.clock.now) <= self.clock.now
 
     def _turn(self, gateway: Gateway) -> None:
         # Driving first: one that stood still goes on with what it believed.
         for _ in range(4):
-            if not gateway.drive():
+            if not gateway.reconcile():
                 break
         gateway.follow(gateway.jobs)
         gateway.follow(gateway.tickets)
@@ -99,13 +109,13 @@
         if self._beats % 100 == 0:
             gateway.sweep()
 
-    def doing(self, name: str, act):
+    def run_killable(self, name: str, act):
         """What a gateway does; if it is killed over it, it is gone until it is started again."""
         try:
             return act()
         except Killed:
             self.gateways[name] = None
-            self.later(self.random.uniform(1, 8), lambda: self.gateways[name] or self.start_gateway(name))
+            self.run_after(self.random.uniform(1, 8), lambda: self.gateways[name] or self.start_gateway(name))
             return None
 
     def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
@@ -113,21 +123,23 @@
         if not able:
             return None, {}
         name = self.random.choice(able)
-        answer = self.doing(name, lambda: getattr(self.gateways[name].desk, what)(argument))
+        answer = self.run_killable(name, lambda: getattr(self.gateways[name].ticket_requests, what)(argument))
         return (None, {}) if answer is None else (answer.status, orjson.loads(answer.body))
 
-    def driving(self) -> str | None:
-        return next((n for n, g in self.gateways.items() if g is not None and g.driver.reign is not None), None)
+    def driver_name(self) -> str | None:
+        return next(
+            (n for n, g in self.gateways.items() if g is not None and g.reconciler.leader_term is not None), None
+        )
 
 
 class _KillableLink:
     """A gateway's transport; its process may end at any request."""
 
-    def __init__(self, world: FarmWorld, name: str) -> None:
+    def __init__(self, world: TicketWorld, name: str) -> None:
         self._world, self._name = world, name
 
     def request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
-        fate = self._world.kill_at(self._name, path)
+        fate = self._world.kill_decision(self._name, path)
         if fate == "before":
             raise Killed
         try:
@@ -180,18 +192,18 @@
     ends: Counter
     faults: int
     problems: list[str]
-    ledger: dict[str, Amounts]
-    account: dict[str, Amounts]
+    ledger: dict[str, ResourceTime]
+    observed_usage: dict[str, ResourceTime]
 
     @property
-    def holds(self) -> bool:
-        return not self.problems and self.ledger == self.account
+    def passed(self) -> bool:
+        return not self.problems and self.ledger == self.observed_usage
 
 
 class Client:
     """One user of one ticket, who may crash before he reads an answer."""
 
-    def __init__(self, farm: "Farm", fields: dict, at: float) -> None:
+    def __init__(self, farm: "TicketSimulation", fields: dict, at: float) -> None:
         self._farm, self._world = farm, farm.world
         self.fields = fields
         self._at = at  # the next thing he does
@@ -200,23 +212,23 @@
         self.refused = False
 
     @property
-    def idle(self) -> bool:
+    def is_finished(self) -> bool:
         return self.refused or (self._run is None and self._again < 0)
 
     def step(self, now: float) -> None:
-        if self.idle or now < self._at:
+        if self.is_finished or now < self._at:
             return
         self._at = now + self._farm.random.uniform(1, 5)
         if self._run is None:
             self._submit()
         elif self._farm.random.random() < 0.05:
-            self._farm.note(self._run, self._world.ask_gateway("cancel", self._run))
+            self._farm.check_answer(self._run, self._world.ask_gateway("cancel", self._run))
         else:
             answer = self._world.ask_gateway("show", self._run)
-            self._farm.note(self._run, answer)
+            self._farm.check_answer(self._run, answer)
             if is_final(answer[1]):
                 self._run, self._again = None, self._again - 1
-                self._at = now + self._farm.random.choice([1.0, 2 * PAUSE.total_seconds()])
+                self._at = now + self._farm.random.choice([1.0, 2 * RERUN_PAUSE.total_seconds()])
 
     def _submit(self) -> None:
         status, answer = self._world.ask_gateway("submit", orjson.dumps(self.fields))
@@ -226,24 +238,24 @@
             self.refused = True
         elif status in (200, 201):
             self._run = answer["ticket"]
-            self._farm.note(self._run, (status, answer))
+            self._farm.check_answer(self._run, (status, answer))
 
 
-class Farm:
+class TicketSimulation:
     """Plays so many tickets beside as many native jobs, through faults, and judges."""
 
     def __init__(self, seed: int, tickets: int, length: float, machines: int = 12) -> None:
         usual = load_operator_settings(None)
         operators: OperatorSettings = replace(usual, ledger=replace(usual.ledger, enabled=True))
-        self.world = FarmWorld(
+        self.world = TicketWorld(
             seed=seed, machines=machines, capacity=machines, teams=TEAMS, operators=operators,
         )  # fmt: skip
-        self.account = Account(self.world.store, self.world.clock)
+        self.usage_observer = UsageObserver(self.world.store, self.world.clock)
         self._account_set = self.world.store.on_set
         self.world.store.on_set = self._set
         self.random = random.Random(seed)
         self._length = length
-        self.told: dict[str, dict] = {}  # final answers
+        self.final_answers: dict[str, dict] = {}  # final answers
         self.problems: list[str] = []
         self.faults = 0
         self._accepted: dict[str, tuple[Plan, datetime]] = {}
@@ -256,7 +268,7 @@
             fields = ticket(kind, klass, number, self.random.uniform(1, 4), tasks)
             self.clients.append(Client(self, fields, self.random.uniform(5, length * 0.7)))
         self._natives = {f"j-{n}": self.random.uniform(5, length * 0.7) for n in range(tickets)}
-        self.world.kill_at = self._fate
+        self.world.kill_decision = self._fate
 
     def _fate(self, name: str, path: str) -> str | None:
         if self.random.random() < (0.02 if path == "/commit" else 0.001):
@@ -272,25 +284,25 @@
                 plan = value["plan"]
                 if not isinstance(plan, str):
                     plan = "".join(self.world.store.data[part_key(plan[0], n)][0] for n in range(plan[1]))
-                self._accepted[run] = unpack(plan), self.world.clock.utc()
+                self._accepted[run] = decode_plan(plan), self.world.clock.utc()
         if key.startswith((JOB_PREFIX, END_PREFIX)):
             self._at.setdefault(key, len(self._at))
 
-    def note(self, run: str, answer: tuple[int | None, dict]) -> None:
+    def check_answer(self, run: str, answer: tuple[int | None, dict]) -> None:
         """A user was told this: a final answer never changes, and an accepted run is never unknown."""
         status, fields = answer
         if status == 404:
             self.problems.append(f"{run} is unknown")
         if status not in (200, 201):
             return
-        if run in self.told and self.told[run] != fields:
-            self.problems.append(f"{run} was {self.told[run]}, now {fields}")
+        if run in self.final_answers and self.final_answers[run] != fields:
+            self.problems.append(f"{run} was {self.final_answers[run]}, now {fields}")
         if is_final(fields):
-            if fields["state"] == "cancelled" and run not in self.told:
+            if fields["state"] == "cancelled" and run not in self.final_answers:
                 for step in self._accepted[run][0].jobs:
                     if JOB_PREFIX + step.spec.ref in self._at:
                         self.world.told_cancelled.setdefault(step.spec.ref, self.world.clock.now)
-            self.told[run] = fields
+            self.final_answers[run] = fields
 
     def _fault(self) -> None:
         world = self.world
@@ -300,15 +312,15 @@
         gateways = [n for n, g in world.gateways.items() if g is not None]
         back = self.random.uniform(1, 12)
         leader = world.leader_name()
-        if kind == "outage" and not world.store.out:
+        if kind == "outage" and not world.store.is_down:
             world.fault("outage", "", back)
         elif kind == "gateway" and gateways:
-            name = world.driving() or gateways[0]
+            name = world.driver_name() or gateways[0]
             world.gateways[name] = None
-            world.later(back, lambda: world.gateways[name] or world.start_gateway(name))
+            world.run_after(back, lambda: world.gateways[name] or world.start_gateway(name))
         elif kind == "asleep" and gateways:
-            name = world.driving() or gateways[0]
-            world.asleep[name] = world.clock.now + seconds(back)
+            name = world.driver_name() or gateways[0]
+            world.paused_until[name] = world.clock.now + seconds(back)
         elif running and kind in ("node", "freeze"):
             world.fault("kill" if kind == "node" else "freeze", self.random.choice(running), back)
         elif leader in running and kind == "leader":
@@ -333,12 +345,12 @@
                     open_natives.discard(ref)
             if now > self._length:
                 world.store.outage(False)
-                world.kill_at, world.asleep = (lambda name, path: None), {}
+                world.kill_decision, world.paused_until = (lambda name, path: None), {}
             elif now > 5 and self.random.random() < 0.04:
                 self._fault()
             world.run(0.5)
             live = [k for k in world.store.data if k.startswith((TICKET_PREFIX, JOB_PREFIX))]
-            if now > self._length and not live and not open_natives and all(c.idle for c in self.clients):
+            if now > self._length and not live and not open_natives and all(c.is_finished for c in self.clients):
                 break
             if now > self._length * 6 + 600:
                 self.problems.append(f"{len(live)} tickets and jobs never ended: {live[:3]}")
@@ -355,7 +367,7 @@
         say = self.problems.append
         for run in self._accepted.keys() ^ ends.keys():
             say(f"{run} was {'accepted' if run in self._accepted else 'never accepted'}: its end is {ends.get(run)}")
-        for run, told in self.told.items():
+        for run, told in self.final_answers.items():
             if run in ends and told["state"] != ends[run]["end"]:
                 say(f"{run}: told {told['state']}, recorded {ends[run]['end']}")
         for run, (plan, _) in self._accepted.items():
@@ -369,7 +381,7 @@
             say(f"parts left: {left}")
         books = read(next(node.store for node in world.nodes.values() if node is not None))
         ledger = {team: amounts for team, amounts in total(books.entries).items() if any(amounts)}
-        account = {team: amounts for team, amounts in self.account.by_team().items() if any(amounts)}
+        account = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
         kinds = Counter(end["end"] for end in ends.values())
         problems = self.problems + world.broken
         return Verdict(len(self.clients), len(self._accepted), kinds, self.faults, problems, ledger, account)
@@ -378,7 +390,7 @@
         for place, step in enumerate(plan.jobs):
             ref = step.spec.ref
             submitted = self._at.get(JOB_PREFIX + ref)
-            for before in step.after:
+            for before in step.depends_on:
                 ended = self._at.get(END_PREFIX + plan.jobs[before].spec.ref)
                 if submitted is not None and (ended is None or ended > submitted):
                     self.problems.append(f"{run}: {step.name} came before a step it depends on was done")
@@ -390,13 +402,13 @@
     def _judge_class(self, name: str, klass: TicketClass, runs: int, ends: dict[str, dict]) -> None:
         of = [ends.get(f"{name}.{n}", {}) for n in range(1, runs + 1)]
         earlier, wrong = of[:-1], False
-        if klass.runs is Runs.ONCE:
+        if klass.rerun_policy is RerunPolicy.ONCE:
             wrong = runs > 1
-        elif klass.runs is Runs.AFTER_FAILURE:
-            wrong = runs > klass.times or any(end.get("end") != "failed" for end in earlier)
-        elif klass.runs is Runs.AFTER_PAUSE:
+        elif klass.rerun_policy is RerunPolicy.AFTER_FAILURE:
+            wrong = runs > klass.max_runs or any(end.get("end") != "failed" for end in earlier)
+        elif klass.rerun_policy is RerunPolicy.AFTER_PAUSE:
             starts = [self._accepted[f"{name}.{n}"][1].timestamp() for n in range(2, runs + 1)]
-            pause = klass.pause.total_seconds()
+            pause = klass.min_rerun_interval.total_seconds()
             wrong = any(start - end["at"] < pause for start, end in zip(starts, earlier, strict=True))
         if wrong:
-            self.problems.append(f"{name}: {runs} runs, {klass.runs.value}: {of}")
+            self.problems.append(f"{name}: {runs} runs, {klass.rerun_policy.value}: {of}")
--- a/kelpjunction/lab/account.py
+++ b/kelpjunction/lab/usage_observer.py
@@ -5,18 +5,18 @@
 
 from kelpjunction.clock import MILLISECOND
 from kelpjunction.lab.store import StoreStandIn
-from kelpjunction.ledger.accounts import Amounts, held
+from kelpjunction.ledger.accounts import ResourceTime, resource_time
 from kelpjunction.wire.users import job_from_fields
 
 _JOB, _RUN, _END = "l/job/", "l/run/", "e/"
 
 
-class Account:
+class UsageObserver:
     """Watches a stand-in of the state service and adds up, for each team, how long its tasks held their places.
 
     A place is held from the commit that puts a task's row into its chunk until
     the commit that takes it out, in whole milliseconds of the time of day since
-    the job's submission.  `held` is in task-milliseconds by (team, cpus, gpus,
+    the job's submission.  `machine_time_ms` is in task-milliseconds by (team, cpus, gpus,
     memory).
     """
 
@@ -24,7 +24,7 @@
         self._clock = clock
         self._jobs: dict[str, tuple] = {}  # size and submission
         self._rows: dict[str, dict[tuple[str, int, int], int]] = {}  # starts by job, of (chunk, task, attempt)
-        self.held: Counter[tuple[str, float, float, float]] = Counter()
+        self.machine_time_ms: Counter[tuple[str, float, float, float]] = Counter()
         store.on_set = self._set
 
     def _set(self, key: str, value: dict | None) -> None:
@@ -49,18 +49,18 @@
 
     def _end(self, ref: str, row: tuple[str, int, int]) -> None:
         size, _ = self._jobs[ref]
-        self.held[size] += self._age(ref) - self._rows[ref].pop(row)
+        self.machine_time_ms[size] += self._age(ref) - self._rows[ref].pop(row)
 
     def _age(self, ref: str) -> int:
         return (self._clock.utc() - datetime.fromtimestamp(self._jobs[ref][1], UTC)) // MILLISECOND
 
-    def by_team(self) -> dict[str, Amounts]:
+    def by_team(self) -> dict[str, ResourceTime]:
         """What each team's tasks held, for each resource, as the ledger counts it."""
-        sums: dict[str, Amounts] = {}
-        for (team, *size), ms in self.held.items():
-            sums[team] = sums.get(team, Amounts()) + held(*size, ms)
+        sums: dict[str, ResourceTime] = {}
+        for (team, *size), ms in self.machine_time_ms.items():
+            sums[team] = sums.get(team, ResourceTime()) + resource_time(*size, ms)
         return sums
 
-    def left(self) -> int:
+    def open_row_count(self) -> int:
         """How many rows still hold a place."""
         return sum(map(len, self._rows.values()))
--- a/kelpjunction/lab/worker.py
+++ b/kelpjunction/lab/worker.py
@@ -1,7 +1,7 @@
 """A stand-in for a machine's worker: sessions, tokens, leases and tasks, as PROTOCOL describes them.
 
 One implementation serves the simulated world, the lab's processes and the
-hollow workers of a scale run; what surrounds a worker is its `Surroundings`.
+hollow workers of a scale run; what surrounds a worker is its `WorkerEnvironment`.
 """
 
 from collections.abc import Callable
@@ -17,15 +17,15 @@
 REPORT_ON_CHANGE_EVERY = timedelta(milliseconds=500)
 
 
-class OneWay(Enum):
+class MessageLoss(Enum):
     """Which half of what a machine and the nodes say to each other is lost."""
 
-    DEAF = "deaf"  # its reports arrive; answers to them, and requests to it, don't
-    UNANSWERED = "unanswered"  # its reports arrive, and requests to it; no answer of either side does
-    MUTE = "mute"  # requests to it arrive; its reports don't, nor its answers
+    INBOUND_LOST = "deaf"  # its reports arrive; answers to them, and requests to it, don't
+    RESPONSES_LOST = "unanswered"  # its reports arrive, and requests to it; no answer of either side does
+    OUTBOUND_LOST = "mute"  # requests to it arrive; its reports don't, nor its answers
 
 
-class Surroundings(Protocol):
+class WorkerEnvironment(Protocol):
     """What a worker asks of the world around it."""
 
     clock: Any  # with `now`, a timedelta
@@ -33,17 +33,17 @@
     node_count: int
     reports_changes: bool  # whether a change of its tasks brings the next report forward, as PROTOCOL says
 
-    def start(self, worker: "WorkerStandIn", frond: str, attempt: int) -> dict:
+    def start_task(self, worker: "WorkerStandIn", frond: str, attempt: int) -> dict:
         """A task begins on the worker: what it is, as the worker keeps it."""
 
-    def exited(self, worker: "WorkerStandIn", frond: str, cause: str) -> None:
+    def on_task_exit(self, worker: "WorkerStandIn", frond: str, cause: str) -> None:
         """A task has exited and is not on the machine any more."""
 
-    def cleared(self, worker: "WorkerStandIn") -> None:
+    def on_tasks_cleared(self, worker: "WorkerStandIn") -> None:
         """All tasks of the worker are gone at once: its lease or its process ended, or its machine is gone."""
 
     def send_report(self, worker: "WorkerStandIn", fields: dict) -> None:
-        """Carry a report to the worker's node; ends in `answered` or `unanswered`."""
+        """Carry a report to the worker's node; ends in `on_report_response` or `on_no_response`."""
 
     def number_of(self, node: str | None) -> int | None:
         """The number of a node by its name."""
@@ -55,34 +55,34 @@
 class WorkerStandIn:
     """A machine's worker: sessions, tokens, tasks."""
 
-    def __init__(self, world: Surroundings, name: str, zone: str, spot: bool) -> None:
+    def __init__(self, world: WorkerEnvironment, name: str, zone: str, spot: bool) -> None:
         self.world, self.name, self.zone, self.spot = world, name, zone, spot
         self.address = ""
         self.session, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict] = {}
         self.alive = True
-        self.life = 0  # how often its process was started again
-        self.cut = False  # no packet gets through
-        self.one_way: OneWay | None = None  # half a cut
-        self.sick = False
-        self.hung: tuple[timedelta, timedelta] | None = None  # since when it hangs, and until when
+        self.restart_count = 0  # how often its process was started again
+        self.partitioned = False  # no packet gets through
+        self.message_loss: MessageLoss | None = None  # half a cut
+        self.fails_all_tasks = False
+        self.hang_period: tuple[timedelta, timedelta] | None = None  # since when it hangs, and until when
         self.packets: list[Callable[[], Any]] = []  # what came in meanwhile, in order
-        self.pace = 1.0  # of its clock: 0.9995 to 1.0005 as PROTOCOL allows
-        self.renewed = self.began_at = world.clock.now
+        self.clock_rate = 1.0  # of its clock: 0.9995 to 1.0005 as PROTOCOL allows
+        self.lease_renewed_at = self.booted_at = world.clock.now
         self.node = 0
-        self.reporting = False  # at most one report is in flight
+        self.report_in_flight = False  # at most one report is in flight
         self.reported_at = world.clock.now
         self.next_report = world.clock.now
-        self.notice: timedelta | None = None
+        self.notice_at: timedelta | None = None
 
     @property
     def up(self) -> bool:
         """Whether it has booted and not died: a worker's first session begins when its machine is up, not before."""
-        return self.alive and self.world.clock.now >= self.began_at
+        return self.alive and self.world.clock.now >= self.booted_at
 
     def report(self) -> dict:
         self.sequence += 1
-        left = None if self.notice is None else (self.notice - self.world.clock.now).total_seconds()
+        left = None if self.notice_at is None else (self.notice_at - self.world.clock.now).total_seconds()
         tasks = [
             {"frond": f, "launch": a} | {k: v for k, v in t.items() if k in ("tide", "cause", "kept")}
             for (f, a), t in self.tasks.items()
@@ -143,12 +143,12 @@
 
     def hang(self, length: float) -> None:
         """Stand still for so many seconds: nothing runs, and what is sent here waits; its lease runs on."""
-        if self.hung is None:
-            self.hung = self.world.clock.now, self.world.clock.now + seconds(length)
+        if self.hang_period is None:
+            self.hang_period = self.world.clock.now, self.world.clock.now + seconds(length)
 
     def _go_on(self) -> None:
         """Go on where it stood, first of all with what came in meanwhile."""
-        stood, self.hung = self.world.clock.now - self.hung[0], None
+        stood, self.hang_period = self.world.clock.now - self.hang_period[0], None
         for task in self.tasks.values():
             for moment in ("ready", "ends", "saved_at"):
                 if task.get(moment):
@@ -161,54 +161,54 @@
         now = self.world.clock.now
         if not self.alive:
             return
-        if (now - self.renewed) * self.pace > self.world.times.lease:
+        if (now - self.lease_renewed_at) * self.clock_rate > self.world.times.lease:
             self.session += 1
             self._clear()
-            self.renewed = now
+            self.lease_renewed_at = now
             self._changed()
-        if self.hung is not None:
-            if now < self.hung[1]:
+        if self.hang_period is not None:
+            if now < self.hang_period[1]:
                 return
             self._go_on()
         for (frond, _), task in self.tasks.items():
             if task["tide"] == "flushing" and now >= task["saved_at"]:
                 self._exit(frond, task, "stopped", kept=True)
             if task["tide"] == "pulling" and now >= task["ready"]:
-                if self.sick or task["job"].get("wrong"):
+                if self.fails_all_tasks or task["job"].get("wrong"):
                     self._exit(frond, task, "error")
                 else:
                     task["tide"] = "running"
                     self._changed()
             if task["tide"] == "running" and task["ends"] and now >= task["ends"]:
                 self._exit(frond, task, "done")
-        if now >= self.next_report and not self.reporting:
+        if now >= self.next_report and not self.report_in_flight:
             self.next_report = now + self.world.times.report * self.world.vary(REPORT_SPREAD)
-            self.reporting, self.reported_at = True, now
+            self.report_in_flight, self.reported_at = True, now
             self.world.send_report(self, self.report())
 
-    def answered(self, fields: dict, sent_at: timedelta, status: int, answer: dict) -> None:
+    def on_report_response(self, fields: dict, sent_at: timedelta, status: int, answer: dict) -> None:
         """The answer to the report of these fields came."""
-        self.reporting = False
+        self.report_in_flight = False
         if status == 200:
             if answer["helm"] >= self.token and fields["watch"] == self.session:
-                self.token, self.renewed = answer["helm"], max(self.renewed, sent_at)
+                self.token, self.lease_renewed_at = answer["helm"], max(self.lease_renewed_at, sent_at)
                 self.execute(answer["orders"])
         elif status == 421 and (named := self.world.number_of(answer.get("harbour"))) not in (None, self.node):
             self.node = named
             self.next_report = self.world.clock.now + seconds(0.2)
         else:
-            self.unanswered()
+            self.on_no_response()
 
     def restart(self) -> None:
         """Its process ended and is back at once: the tasks are gone, and it counts from the beginning again."""
         self.session, self.sequence, self.token = 1, 0, 0
         self._clear()
-        self.reporting, self.renewed = False, self.world.clock.now
+        self.report_in_flight, self.lease_renewed_at = False, self.world.clock.now
         self.next_report = self.world.clock.now
-        self.life += 1
+        self.restart_count += 1
 
-    def unanswered(self) -> None:
+    def on_no_response(self) -> None:
         """No answer of use came to the report: the next node is tried."""
-        self.reporting = False
+        self.report_in_flight = False
         self.node = (self.node + 1) % self.world.node_count
         self.next_report = self.world.clock.now + seconds(1)
--- a/kelpjunction/lab/world.py
+++ b/kelpjunction/lab/world.py
@@ -17,9 +17,9 @@
 from kelpjunction.clock import ZERO, seconds
 from kelpjunction.daemon import Node
 from kelpjunction.http import PEER_PATH
-from kelpjunction.lab.exchanges import Exchanges
+from kelpjunction.lab.interleaving import InterleavedRequests
 from kelpjunction.lab.site import CLOUD_LIMITS, GUEST, STORE_LIMITS, TEAMS, Site
-from kelpjunction.lab.worker import OneWay, WorkerStandIn
+from kelpjunction.lab.worker import MessageLoss, WorkerStandIn
 from kelpjunction.leadership import LeaderTerm
 from kelpjunction.recorder import Event
 from kelpjunction.settings import (
@@ -36,7 +36,7 @@
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 STORE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
-WORKER_PATIENCE = 4.0  # seconds that a worker waits for the answer to its report
+REPORT_RESPONSE_TIMEOUT_S = 4.0  # seconds that a worker waits for the answer to its report
 
 
 class SimClock:
@@ -57,17 +57,17 @@
         return START + self.now * self._day_speed
 
 
-class Weather(NamedTuple):
+class NetworkConditions(NamedTuple):
     """What the seed moves beside run and boot times: messages' delay and loss, and who comes first."""
 
-    delay: tuple[float, float] = (0.01, 0.3)  # seconds that a worker's report takes, and its answer
-    loss: float = 0.002  # of the nodes' requests and the workers' reports: lost, answered in vain or held back
+    delay_range_s: tuple[float, float] = (0.01, 0.3)  # seconds that a worker's report takes, and its answer
+    loss_rate: float = 0.002  # of the nodes' requests and the workers' reports: lost, answered in vain or held back
 
 
 class World(Site):
     """Whole nodes on a simulated clock.
 
-    With `weather`, the seed moves what it moves in a world outside; without,
+    With `network_conditions`, the seed moves what it moves in a world outside; without,
     everything takes its nominal time, so that traces can be read.  With
     `store`, the state service refuses what is above its rates.  `interleaved`
     nodes answer a report before what they ask and send because of it goes out,
@@ -80,8 +80,8 @@
         machines: int = 6,
         capacity: int = 12,
         teams: tuple[Team, ...] | None = None,
-        aimed: frozenset[str] = frozenset(),
-        weather: Weather | None = None,
+        classes_with_objectives: frozenset[str] = frozenset(),
+        network_conditions: NetworkConditions | None = None,
         operators: OperatorSettings | None = None,
         day_speed: int = 1,
         store: StoreLimits | None = None,
@@ -92,25 +92,27 @@
         self.times = times or self.times
         self.store.limits = store
         self.operators = operators or load_operator_settings(None)
-        self.weather, self.varied = weather, weather is not None
-        self.aimed = aimed
+        self.network_conditions, self.varied = network_conditions, network_conditions is not None
+        self.classes_with_objectives = classes_with_objectives
         self.late: list[tuple[timedelta, int, Callable]] = []
         self._late_number = 0
         self._beats = 0  # steps of time there have been: short runs must not keep slow loops from their turn
-        self.held_for = (1.0, 25.0)
+        self.late_request_delay_s = (1.0, 25.0)
         self.cut_from_store: set[str] = set()
         self.cut_from_peers: set[str] = set()
         # How many seconds late copies of a report come again, if any do, and to which nodes.
-        self.copies: Callable[[WorkerStandIn], list[tuple[float, str]]] = lambda worker: []
-        self.kept_reports: list[dict] | None = None  # copies that come to every node when the next leader begins
+        self.duplicate_reports: Callable[[WorkerStandIn], list[tuple[float, str]]] = lambda worker: []
+        self.reports_for_next_leader: list[dict] | None = (
+            None  # copies that come to every node when the next leader begins
+        )
         self._led_by: LeaderTerm | None = None
         self.filter: Callable[[str, str, str], str | None] = self._weathered
         # How long a node stands still before this request leaves it, if at all.
-        self.stand_still: Callable[[str, str, str], float] = lambda source, target, path: 0.0
+        self.pause_before_request: Callable[[str, str, str], float] = lambda source, target, path: 0.0
         self.frozen: set[str] = set()
         self._waiting: dict[str, list[Callable]] = {}  # packets for nodes that stand still
         self.contradictions: list[Event] = []  # what nodes found that can't be
-        self._exchanges = Exchanges(self, seed) if interleaved else None
+        self._exchanges = InterleavedRequests(self, seed) if interleaved else None
         self.nodes: dict[str, Node | None] = {}
         for i in range(machines):
             self.cloud.add(self.zones[i % 3], False, self.clock.now)
@@ -127,7 +129,7 @@
             internal_address=f"10.0.0.{number}:8081",
             siblings=tuple(Sibling(f"holdfast-{i}", self.zones[i], f"10.0.0.{i}:8081") for i in others),
             cloud_address=CLOUD, store_address=STORE, zones=self.zones, teams={t.name: t for t in self.teams},
-            classes_with_objectives=self.aimed, workers=self.times,
+            classes_with_objectives=self.classes_with_objectives, workers=self.times,
             store=self.store.limits or STORE_LIMITS, cloud=CLOUD_LIMITS,
         )  # fmt: skip
 
@@ -142,7 +144,7 @@
         self.nodes[name] = node
         return node
 
-    def life(self, node: str) -> Node | None:
+    def process_instance(self, node: str) -> Node | None:
         return self.nodes[node]
 
     def when_running(self, node: str, act: Callable[[], None]) -> None:
@@ -175,7 +177,7 @@
     def suspend_node(self, name: str, duration: float) -> None:
         node = self.nodes[name]
         self.frozen.add(name)
-        self.later(duration, lambda: self._thaw(name, node))
+        self.run_after(duration, lambda: self._thaw(name, node))
 
     def _thaw(self, name: str, node: Node | None) -> None:
         """A frozen node goes on where it was, with what it believed, unless it was killed meanwhile."""
@@ -184,7 +186,7 @@
             for packet in self._waiting.pop(name, ()):
                 packet()
 
-    def later(self, duration: float, act: Callable[[], None]) -> None:
+    def run_after(self, duration: float, act: Callable[[], None]) -> None:
         if duration:
             self.at(self.clock.now + seconds(duration), act)
 
@@ -206,7 +208,7 @@
 
     def deliver(self, source: str, address: str, method: str, path: str, body: dict) -> Reply:
         """One request of a node: what happens to it is up to `filter`."""
-        pause = self.stand_still(source, address, path)
+        pause = self.pause_before_request(source, address, path)
         if pause:
             node = self.nodes[source]
             self.freeze(source, pause)
@@ -224,7 +226,7 @@
                 with suppress(NoResponse):
                     handler(method, path, body)
 
-            self.later(self.random.uniform(*self.held_for), carry_out_late)
+            self.run_after(self.random.uniform(*self.late_request_delay_s), carry_out_late)
             raise NoResponse("held back")
         if fate == "lost":
             raise NoResponse("request lost")
@@ -234,45 +236,53 @@
         return reply
 
     def _weathered(self, source: str, target: str, path: str) -> str | None:
-        if self.weather is None or path.startswith("/follow") or self.random.random() >= self.weather.loss:
+        if (
+            self.network_conditions is None
+            or path.startswith("/follow")
+            or self.random.random() >= self.network_conditions.loss_rate
+        ):
             return None
         return self.random.choice(["held", "lost", "answer lost"])
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
-        sent_at, life = self.clock.now, worker.life
-        there, back = (0.0, 0.0) if self.weather is None else (self.random.uniform(*self.weather.delay) for _ in "ab")
-        for late, name in self.copies(worker):
-            self.later(late, lambda name=name: self._copy(name, fields))
-        if self.kept_reports is not None:
-            self.kept_reports.append(fields)
+        sent_at, life = self.clock.now, worker.restart_count
+        there, back = (
+            (0.0, 0.0)
+            if self.network_conditions is None
+            else (self.random.uniform(*self.network_conditions.delay_range_s) for _ in "ab")
+        )
+        for late, name in self.duplicate_reports(worker):
+            self.run_after(late, lambda name=name: self._copy(name, fields))
+        if self.reports_for_next_leader is not None:
+            self.reports_for_next_leader.append(fields)
 
         def unless_restarted(act: Callable[[], None]) -> Callable[[], None]:
-            return lambda: act() if worker.life == life else None
+            return lambda: act() if worker.restart_count == life else None
 
         def arrive() -> None:
-            if worker.one_way is OneWay.MUTE:
-                self.later(WORKER_PATIENCE, unless_restarted(worker.unanswered))
+            if worker.message_loss is MessageLoss.OUTBOUND_LOST:
+                self.run_after(REPORT_RESPONSE_TIMEOUT_S, unless_restarted(worker.on_no_response))
                 return
             try:
                 status, answer = self.reach_node(worker, worker.node, fields)
             except NoResponse:
-                worker.unanswered()
+                worker.on_no_response()
                 return
-            if worker.one_way is not None:
-                self.later(WORKER_PATIENCE, unless_restarted(worker.unanswered))
+            if worker.message_loss is not None:
+                self.run_after(REPORT_RESPONSE_TIMEOUT_S, unless_restarted(worker.on_no_response))
                 return
 
             def read() -> None:
-                if worker.hung is not None:
+                if worker.hang_period is not None:
                     worker.packets.append(unless_restarted(read))
-                elif self.clock.now - sent_at < seconds(WORKER_PATIENCE):
-                    worker.answered(fields, sent_at, status, answer)
+                elif self.clock.now - sent_at < seconds(REPORT_RESPONSE_TIMEOUT_S):
+                    worker.on_report_response(fields, sent_at, status, answer)
                 else:
-                    worker.unanswered()
+                    worker.on_no_response()
 
-            self.later(back, unless_restarted(read)) if back else read()
+            self.run_after(back, unless_restarted(read)) if back else read()
 
-        self.later(there, unless_restarted(arrive)) if there else arrive()
+        self.run_after(there, unless_restarted(arrive)) if there else arrive()
 
     def _copy(self, name: str, fields: dict) -> None:
         """A copy of an old report comes in at a node; nobody waits for the answer."""
@@ -287,30 +297,30 @@
         if reign is None or reign is self._led_by:
             return
         self._led_by = reign
-        if self.kept_reports is None:
+        if self.reports_for_next_leader is None:
             return
-        kept, self.kept_reports = self.kept_reports, []
+        kept, self.reports_for_next_leader = self.reports_for_next_leader, []
         for name in self.node_names:
             for fields in kept:
                 self._copy(name, fields)
                 for late in (0.2, 0.5, 1.0):  # and while blocks are granted
-                    self.later(late, lambda name=name, fields=fields: self._copy(name, fields))
+                    self.run_after(late, lambda name=name, fields=fields: self._copy(name, fields))
 
     def _handler(self, address: str):
         if address == STORE:
             return self.store.handle
         if address == CLOUD:
             return self.cloud.handle
-        worker = self.cloud.at.get(address)
-        if worker is None or not worker.up or worker.cut or worker.one_way is OneWay.DEAF:
+        worker = self.cloud.workers_by_address.get(address)
+        if worker is None or not worker.up or worker.partitioned or worker.message_loss is MessageLoss.INBOUND_LOST:
             raise NoResponse("nobody there")
 
         def carry_out(method: str, path: str, body: dict) -> Reply:
-            if worker.hung is not None:
+            if worker.hang_period is not None:
                 worker.packets.append(lambda: worker.handle(method, path, body))
                 raise NoResponse("the machine hangs")
             reply = worker.handle(method, path, body) if worker.alive else Reply(503, {})
-            if worker.one_way is not None:
+            if worker.message_loss is not None:
                 raise NoResponse("answer lost")
             return reply
 
@@ -327,7 +337,7 @@
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
         name = f"holdfast-{number}"
         node = self.nodes[name]
-        if node is None or worker.cut or self.filter(worker.name, name, "/checkin"):
+        if node is None or worker.partitioned or self.filter(worker.name, name, "/checkin"):
             raise NoResponse("no node there")
         body = orjson.dumps(fields)
         if name in self.frozen:
@@ -372,7 +382,7 @@
         while self.clock.now < end:
             self.clock.now += seconds(0.1)
             self._beats += 1
-            self.store.expire()
+            self.store.expire_leases()
             while self.late and self.late[0][0] <= self.clock.now:
                 heapq.heappop(self.late)[2]()
             for worker, _ in self._any_order(self.cloud.machines.values()):
@@ -384,14 +394,14 @@
                 self._check_cancelled(ref)
             self._keep_for_next()
             if self._beats % 10 == 0:
-                self.idle.look(self)
+                self.starvation_check.observe(self)
             if until is not None and until():
                 return True
         return until is None
 
     def _any_order(self, things: Iterable) -> list:
         things = list(things)
-        if self.weather is not None:
+        if self.network_conditions is not None:
             self.random.shuffle(things)
         return things
 
--- a/kelpjunction/ledger/__init__.py
+++ b/kelpjunction/ledger/__init__.py
@@ -1,7 +1,7 @@
 """The fair-share ledger: what each team held, fading, and what that does to its work beyond its guarantee.
 
-`fading` is the arithmetic, `accounts` what an entry does to the balances and
-how entries are chained; both are pure and use whole numbers only.  `keeper`
+`decay` is the arithmetic, `accounts` what an entry does to the balances and
+how entries are chained; both are pure and use whole numbers only.  `writer`
 is the leader's part: it closes stretches of time under `l/lead`'s guard.
 `reader`, `audit`, `archive` and `report` serve the operators' commands and are
 never imported by a node.
--- a/kelpjunction/ledger/accounts.py
+++ b/kelpjunction/ledger/accounts.py
@@ -1,7 +1,7 @@
 """Balances, the entries that change them, and the chain of entries.  Pure.
 
 Machine time is counted for each resource in thousandths of a unit times
-milliseconds (`Amounts`); a charge weighs the resources and is one number.
+milliseconds (`ResourceTime`); a charge weighs the resources and is one number.
 Teams' balances are kept in pages, each of which is closed by itself, so that
 an entry and a page fit the state service's values however many teams there
 are.
@@ -15,37 +15,37 @@
 import orjson
 
 from kelpjunction.clock import MILLISECOND
-from kelpjunction.ledger.fading import ONE, factor, fade
+from kelpjunction.ledger.decay import FIXED_POINT_ONE, decay, factor
 from kelpjunction.settings import LedgerSettings, Team
 
 THOUSAND = 1000
-HOUR = 3_600_000 * THOUSAND  # of one unit of a resource, as `Amounts` count it
+UNIT_HOUR = 3_600_000 * THOUSAND  # of one unit of a resource, as `ResourceTime` count it
 GENESIS = ""  # what the first entry follows
 ROW_BYTES = 160  # at most what a team's row takes in an entry or a page, beside its name
 PAGE_SHARE = 0.9  # of a value's limit that rows may take
 
 
-class Malformed(Exception):
+class LedgerError(Exception):
     """A record or a file is not what the ledger writes; the text names the place."""
 
 
-class Amounts(NamedTuple):
+class ResourceTime(NamedTuple):
     """Machine time by resource, each in thousandths of its unit times milliseconds."""
 
     cpus: int = 0
     gpus: int = 0
     memory: int = 0
 
-    def __add__(self, other: "Amounts") -> "Amounts":
-        return Amounts(*(a + b for a, b in zip(self, other, strict=True)))
+    def __add__(self, other: "ResourceTime") -> "ResourceTime":
+        return ResourceTime(*(a + b for a, b in zip(self, other, strict=True)))
 
-    def __sub__(self, other: "Amounts") -> "Amounts":
-        return Amounts(*(a - b for a, b in zip(self, other, strict=True)))
+    def __sub__(self, other: "ResourceTime") -> "ResourceTime":
+        return ResourceTime(*(a - b for a, b in zip(self, other, strict=True)))
 
 
-def held(cpus: float, gpus: float, memory: float, ms: int) -> Amounts:
+def resource_time(cpus: float, gpus: float, memory: float, ms: int) -> ResourceTime:
     """What tasks of this size held, together, in so many task-milliseconds."""
-    return Amounts(*(round(each * THOUSAND) * ms for each in (cpus, gpus, memory)))
+    return ResourceTime(*(round(each * THOUSAND) * ms for each in (cpus, gpus, memory)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     form: str
     floor: int  # in 2**-32
     weights: tuple[int, int, int]  # of CPU, accelerator and GB of memory, in thousandths
-    guest_share: int  # in thousandths of a weighted CPU
+    share_without_guarantee: int  # in thousandths of a weighted CPU
 
     @classmethod
     def of(cls, settings: LedgerSettings, teams: Mapping[str, Team]) -> "Policy":
@@ -66,17 +66,17 @@
         return cls(
             half_life=settings.half_life // MILLISECOND,
             form=settings.form,
-            floor=round(settings.floor * ONE),
+            floor=round(settings.floor * FIXED_POINT_ONE),
             weights=weights,
-            guest_share=max(1, round(settings.guest_share * smallest)),
+            share_without_guarantee=max(1, round(settings.guest_share * smallest)),
         )
 
     def share(self, team: Team | None) -> int:
         """What a team's usage is measured against: its guarantee; a guest's, or a removed team's, is set apart."""
         share = 0 if team is None else _guarantee(team, self.weights)
-        return share or self.guest_share
+        return share or self.share_without_guarantee
 
-    def charge(self, amounts: Amounts) -> int:
+    def charge(self, amounts: ResourceTime) -> int:
         """One number for machine time, in thousandths of a weighted CPU times milliseconds."""
         cpu, gpu, memory = self.weights
         return (cpu * amounts.cpus + gpu * amounts.gpus + memory * amounts.memory) // THOUSAND
@@ -84,7 +84,7 @@
     def record(self) -> dict:
         return {
             "half_life": self.half_life, "form": self.form, "floor": self.floor, "weights": list(self.weights),
-            "guest_share": self.guest_share,
+            "guest_share": self.share_without_guarantee,
         }  # fmt: skip
 
     @classmethod
@@ -101,73 +101,74 @@
 class Balance(NamedTuple):
     """A team's account at its page's last closing: what its unfinished jobs had held, its faded usage, its factor."""
 
-    open: Amounts = Amounts()
-    faded: int = 0
-    factor: int = ONE
+    unfinished_time: ResourceTime = ResourceTime()
+    decayed_usage: int = 0
+    factor: int = FIXED_POINT_ONE
 
 
 @dataclass(frozen=True, slots=True)
-class Page:
+class BalancePage:
     """The balances of some teams as of one closing.
 
     `revision` is the state service's up to which ended jobs are charged.
     """
 
-    at: int  # ms since the epoch
+    closed_at_ms: int  # ms since the epoch
     revision: int
     balances: Mapping[str, Balance]
 
     def record(self) -> dict:
-        rows = {name: [*b.open, b.faded, b.factor] for name, b in self.balances.items()}
-        return {"t": self.at, "r": self.revision, "teams": rows}
+        rows = {name: [*b.unfinished_time, b.decayed_usage, b.factor] for name, b in self.balances.items()}
+        return {"t": self.closed_at_ms, "r": self.revision, "teams": rows}
 
     @classmethod
-    def parse(cls, record: Mapping) -> "Page":
-        rows = {name: Balance(Amounts(*row[:3]), *row[3:]) for name, row in record["teams"].items()}
+    def parse(cls, record: Mapping) -> "BalancePage":
+        rows = {name: Balance(ResourceTime(*row[:3]), *row[3:]) for name, row in record["teams"].items()}
         return cls(record["t"], record["r"], rows)
 
-    def room(self, name: str, value_bytes: int) -> bool:
+    def has_room_for(self, name: str, value_bytes: int) -> bool:
         """Whether another team's row fits the page, and the entries that close it."""
         return sum(len(n.encode()) + ROW_BYTES for n in (*self.balances, name)) <= value_bytes * PAGE_SHARE
 
 
-class Row(NamedTuple):
+class TeamRow(NamedTuple):
     """What an entry says of a team: machine time since the one before, its share, faded usage and factor after it."""
 
-    amounts: Amounts
+    resource_time: ResourceTime
     share: int
-    faded: int
+    decayed_usage: int
     factor: int
 
 
-def close(page: Page, at: int, revision: int, now: Mapping[str, tuple[Amounts, Amounts]], policy: Policy,
-          teams: Mapping[str, Team]) -> tuple[Page, dict[str, Row]]:  # fmt: skip
+def close(page: BalancePage, at: int, revision: int,
+          now: Mapping[str, tuple[ResourceTime, ResourceTime]], policy: Policy,
+          teams: Mapping[str, Team]) -> tuple[BalancePage, dict[str, TeamRow]]:  # fmt: skip
     """Close a page's stretch: the new page, and a row for each team that held something or has usage left.
 
     `now` has, for each team, what its jobs that ended since the last closing
     held in all, and what its unfinished ones have held until `at`.
     """
     balances: dict[str, Balance] = {}
-    rows: dict[str, Row] = {}
+    rows: dict[str, TeamRow] = {}
     for name in dict.fromkeys((*page.balances, *now)):
         before = page.balances.get(name, Balance())
-        ended, open_ = now.get(name, (Amounts(), Amounts()))
-        amounts = ended + open_ - before.open
+        ended, open_ = now.get(name, (ResourceTime(), ResourceTime()))
+        amounts = ended + open_ - before.unfinished_time
         share = policy.share(teams.get(name))
-        row = charged(before.faded, at - page.at, amounts, share, policy)
-        balances[name] = Balance(open_, row.faded, row.factor)
-        if any(amounts) or row.faded or before.faded:
+        row = apply_charge(before.decayed_usage, at - page.closed_at_ms, amounts, share, policy)
+        balances[name] = Balance(open_, row.decayed_usage, row.factor)
+        if any(amounts) or row.decayed_usage or before.decayed_usage:
             rows[name] = row
-    return Page(at, revision, balances), rows
+    return BalancePage(at, revision, balances), rows
 
 
-def charged(faded: int, passed: int, amounts: Amounts, share: int, policy: Policy) -> Row:
+def apply_charge(faded: int, passed: int, amounts: ResourceTime, share: int, policy: Policy) -> TeamRow:
     """A team's row after a stretch: its usage faded over `passed` ms, and the stretch's charge on top of it.
 
     A correction may be negative; usage never is.
     """
-    faded = max(0, fade(faded, passed, policy.half_life) + policy.charge(amounts))
-    return Row(amounts, share, faded, factor(policy.form, faded, share, policy.half_life, policy.floor))
+    faded = max(0, decay(faded, passed, policy.half_life) + policy.charge(amounts))
+    return TeamRow(amounts, share, faded, factor(policy.form, faded, share, policy.half_life, policy.floor))
 
 
 # -- entries and their chain --------------------------------------------------------
@@ -188,25 +189,26 @@
     return _sealed({"n": number, "prev": previous, "kind": "settings", "t": at, "by": by, "policy": policy.record()})
 
 
-def closing_entry(number: int, previous: str, page_number: int, since: int, page: Page, rows: Mapping[str, Row],
+def closing_entry(number: int, previous: str, page_number: int, since: int,
+                  page: BalancePage, rows: Mapping[str, TeamRow],
                   by: str) -> dict:  # fmt: skip
     """A page was closed: its stretch of time, and its teams' rows."""
-    teams = {name: [*r.amounts, r.share, r.faded, r.factor] for name, r in rows.items()}
+    teams = {name: [*r.resource_time, r.share, r.decayed_usage, r.factor] for name, r in rows.items()}
     return _sealed({
-        "n": number, "prev": previous, "kind": "closing", "t": page.at, "by": by, "page": page_number,
+        "n": number, "prev": previous, "kind": "closing", "t": page.closed_at_ms, "by": by, "page": page_number,
         "since": since, "r": page.revision, "teams": teams,
     })  # fmt: skip
 
 
-def rows_of(entry: Mapping) -> dict[str, Row]:
+def rows_of(entry: Mapping) -> dict[str, TeamRow]:
     """The teams' rows of a closing."""
-    return {name: Row(Amounts(*row[:3]), *row[3:]) for name, row in entry["teams"].items()}
+    return {name: TeamRow(ResourceTime(*row[:3]), *row[3:]) for name, row in entry["teams"].items()}
 
 
-def total(entries: Iterable[Mapping]) -> dict[str, Amounts]:
+def total(entries: Iterable[Mapping]) -> dict[str, ResourceTime]:
     """All machine time that these entries charge, by team."""
-    sums: dict[str, Amounts] = {}
+    sums: dict[str, ResourceTime] = {}
     for entry in entries:
         for name, row in rows_of(entry).items() if entry["kind"] == "closing" else ():
-            sums[name] = sums.get(name, Amounts()) + row.amounts
+            sums[name] = sums.get(name, ResourceTime()) + row.resource_time
     return sums
--- a/kelpjunction/ledger/archive.py
+++ b/kelpjunction/ledger/archive.py
@@ -8,8 +8,8 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-from kelpjunction.ledger.accounts import Malformed
-from kelpjunction.ledger.reader import Base, Books
+from kelpjunction.ledger.accounts import LedgerError
+from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
 
 FORMAT = "kelpjunction ledger 1"
 _ENTRY = [
@@ -35,7 +35,7 @@
 SCHEMA = pa.schema([*_ENTRY, ("team", pa.string()), *_ROW])
 
 
-def write(path: Path, base: Base, entries: Iterable[Mapping]) -> None:
+def write(path: Path, base: LedgerSnapshot, entries: Iterable[Mapping]) -> None:
     """Write a file that is whole or not there: beside its place first, then moved."""
     columns: dict[str, list] = {name: [] for name in SCHEMA.names}
     for entry in entries:
@@ -56,18 +56,18 @@
     beside.replace(path)
 
 
-def read(path: Path) -> Books:
-    """Read such a file; raises `Malformed` naming what is wrong with it."""
+def read(path: Path) -> LedgerContents:
+    """Read such a file; raises `LedgerError` naming what is wrong with it."""
     try:
         table = pq.read_table(path)
     except (OSError, pa.ArrowException) as error:
-        raise Malformed(f"{path}: {error}") from error
+        raise LedgerError(f"{path}: {error}") from error
     metadata = {k.decode(): v for k, v in (table.schema.metadata or {}).items()}
     if metadata.get("format", b"").decode() != FORMAT:
-        raise Malformed(f"{path}: not an exported ledger (metadata field format)")
+        raise LedgerError(f"{path}: not an exported ledger (metadata field format)")
     for name in SCHEMA.names:
         if name not in table.schema.names:
-            raise Malformed(f"{path}: column {name} is missing")
+            raise LedgerError(f"{path}: column {name} is missing")
     entries: list[dict] = []
     for row in table.to_pylist():
         if not entries or entries[-1]["n"] != row["n"] or entries[-1]["hash"] != row["hash"]:
@@ -81,7 +81,7 @@
         if row["team"] is not None:
             entries[-1]["teams"][row["team"]] = [row[name] for name, _ in _ROW]
     try:
-        base = Base.parse(orjson.loads(metadata["base"]))
+        base = LedgerSnapshot.parse(orjson.loads(metadata["base"]))
     except (KeyError, TypeError, ValueError) as error:
-        raise Malformed(f"{path}: metadata field base: {error}") from error
-    return Books(base, entries)
+        raise LedgerError(f"{path}: metadata field base: {error}") from error
+    return LedgerContents(base, entries)
--- a/kelpjunction/ledger/audit.py
+++ b/kelpjunction/ledger/audit.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from kelpjunction.ledger.accounts import Balance, Page, Policy, charged, digest, rows_of
-from kelpjunction.ledger.reader import Base, Books
+from kelpjunction.ledger.accounts import Balance, BalancePage, Policy, apply_charge, digest, rows_of
+from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
 
 
 class Fault(NamedTuple):
@@ -20,12 +20,12 @@
 class Replayed(NamedTuple):
     """What replaying came to: the state after the last good entry, how many factors were compared, a fault if any."""
 
-    base: Base
+    base: LedgerSnapshot
     factors: int
     fault: Fault | None
 
 
-def check_chain(base: Base, entries: Iterable[Mapping]) -> Fault | None:
+def check_chain(base: LedgerSnapshot, entries: Iterable[Mapping]) -> Fault | None:
     """Whether numbers are without gap or repeat and each entry holds its own hash and that of the one before."""
     number, previous = base.number, base.hash
     for entry in entries:
@@ -42,7 +42,7 @@
     return None
 
 
-def replay(base: Base, entries: Iterable[Mapping]) -> Replayed:
+def replay(base: LedgerSnapshot, entries: Iterable[Mapping]) -> Replayed:
     """Compute every balance and every factor anew and compare them bit for bit."""
     policy, pages = base.policy, dict(base.pages)
     last, factors = (base.number, base.hash), 0
@@ -56,33 +56,33 @@
             pages[entry["page"]], compared, fault = _replay_closing(pages.get(entry["page"]), entry, policy)
             factors += compared
         if fault is not None:
-            return Replayed(Base(*last, policy, pages), factors, Fault(entry["n"], fault))
+            return Replayed(LedgerSnapshot(*last, policy, pages), factors, Fault(entry["n"], fault))
         last = entry["n"], entry["hash"]
-    return Replayed(Base(*last, policy, pages), factors, None)
+    return Replayed(LedgerSnapshot(*last, policy, pages), factors, None)
 
 
-def _replay_closing(page: Page | None, entry: Mapping, policy: Policy) -> tuple[Page, int, str | None]:
-    page = page or Page(entry["since"], 0, {})
-    if page.at != entry["since"]:
-        return page, 0, f"begins at {entry['since']}, and its page was closed at {page.at}"
-    if entry["t"] <= page.at:
+def _replay_closing(page: BalancePage | None, entry: Mapping, policy: Policy) -> tuple[BalancePage, int, str | None]:
+    page = page or BalancePage(entry["since"], 0, {})
+    if page.closed_at_ms != entry["since"]:
+        return page, 0, f"begins at {entry['since']}, and its page was closed at {page.closed_at_ms}"
+    if entry["t"] <= page.closed_at_ms:
         return page, 0, "ends before it begins"
     rows = rows_of(entry)
     balances = dict(page.balances)
     for name, row in rows.items():
         before = balances.get(name, Balance())
-        again = charged(before.faded, entry["t"] - page.at, row.amounts, row.share, policy)
+        again = apply_charge(before.decayed_usage, entry["t"] - page.closed_at_ms, row.resource_time, row.share, policy)
         if again != row:
-            said, found = (row.faded, row.factor), (again.faded, again.factor)
+            said, found = (row.decayed_usage, row.factor), (again.decayed_usage, again.factor)
             return page, 0, f"team {name}: usage and factor are {said}, and should be {found}"
-        balances[name] = Balance(before.open + row.amounts, row.faded, row.factor)
+        balances[name] = Balance(before.unfinished_time + row.resource_time, row.decayed_usage, row.factor)
     for name, before in page.balances.items():
-        if before.faded and name not in rows:
+        if before.decayed_usage and name not in rows:
             return page, 0, f"team {name} has usage and is left out"
-    return Page(entry["t"], entry["r"], balances), len(rows), None
+    return BalancePage(entry["t"], entry["r"], balances), len(rows), None
 
 
-def audit(books: Books) -> Replayed:
+def audit(books: LedgerContents) -> Replayed:
     """The chain, the replay, and, where it was read from the service, its end and the pages in force."""
     broken = check_chain(books.base, books.entries)
     good = books.entries if broken is None else [e for e in books.entries if e["n"] < broken.number]
@@ -96,11 +96,11 @@
     return done._replace(fault=fault)
 
 
-def _compare_pages(pages: Mapping[int, Page], base: Base) -> Fault | None:
+def _compare_pages(pages: Mapping[int, BalancePage], base: LedgerSnapshot) -> Fault | None:
     for number, page in pages.items():
         again = base.pages.get(number)
         for name, balance in page.balances.items():
             found = again.balances.get(name, Balance()) if again else Balance()
-            if (balance.faded, balance.factor) != (found.faded, found.factor):
+            if (balance.decayed_usage, balance.factor) != (found.decayed_usage, found.factor):
                 return Fault(base.number, f"team {name}: the balance in force is not what the entries lead to")
     return None
--- a/kelpjunction/ledger/fading.py
+++ b/kelpjunction/ledger/decay.py
@@ -7,7 +7,7 @@
 `exp` may differ in the last digits between C libraries, which a replay would
 see.
 
-Errors: `fade` is at most one unit below the true value, and at most 2**-32 of
+Errors: `decay` is at most one unit below the true value, and at most 2**-32 of
 it above.  It is monotone: more, or sooner, never leaves less.
 """
 
@@ -16,7 +16,7 @@
 from functools import lru_cache
 
 FRACTION_BITS = 32
-ONE = 1 << FRACTION_BITS
+FIXED_POINT_ONE = 1 << FRACTION_BITS
 LN2 = 2_977_044_471  # ln 2 in 2**-32, rounded down
 _ROOT_BITS = 96
 
@@ -32,7 +32,7 @@
 _ROOTS = _roots()
 
 
-def fade(amount: int, passed: int, half_life: int) -> int:
+def decay(amount: int, passed: int, half_life: int) -> int:
     """What is left of an amount after `passed`; half of it after each `half_life`, in the same unit."""
     if passed <= 0 or amount <= 0:
         return max(0, amount)
@@ -57,7 +57,7 @@
 
 
 @lru_cache(maxsize=4096)
-def full_use(share: int, half_life: int) -> int:
+def steady_state_usage(share: int, half_life: int) -> int:
     """What faded usage comes to for who holds exactly `share` all the time: share times half-life by ln 2."""
     return (share * half_life << FRACTION_BITS) // LN2
 
@@ -69,15 +69,15 @@
 
 def exponential(faded: int, full: int) -> int:
     """2 ** -x: a half at x = 1, a five-hundredth at 9."""
-    return fade(ONE << FRACTION_BITS, faded, full) >> FRACTION_BITS
+    return decay(FIXED_POINT_ONE << FRACTION_BITS, faded, full) >> FRACTION_BITS
 
 
 def linear(faded: int, full: int) -> int:
     """1 - x / 4: nothing from four times the share on."""
-    return max(0, ONE - (faded << FRACTION_BITS) // (4 * full))
+    return max(0, FIXED_POINT_ONE - (faded << FRACTION_BITS) // (4 * full))
 
 
-FORMS: dict[str, Callable[[int, int], int]] = {
+FACTOR_FUNCTIONS: dict[str, Callable[[int, int], int]] = {
     "hyperbolic": hyperbolic,
     "exponential": exponential,
     "linear": linear,
@@ -90,4 +90,4 @@
     Never above 1, where a team stands that has used nothing, for however
     long; never below `floor`.  A share of nothing counts as one unit.
     """
-    return max(floor, FORMS[form](faded, full_use(max(1, share), half_life)))
+    return max(floor, FACTOR_FUNCTIONS[form](faded, steady_state_usage(max(1, share), half_life)))
--- a/kelpjunction/ledger/report.py
+++ b/kelpjunction/ledger/report.py
@@ -9,10 +9,10 @@
 from jinja2 import Environment
 from matplotlib.figure import Figure
 
-from kelpjunction.ledger.accounts import HOUR, Amounts, Policy, rows_of
+from kelpjunction.ledger.accounts import UNIT_HOUR, Policy, ResourceTime, rows_of
 from kelpjunction.ledger.audit import Replayed
-from kelpjunction.ledger.fading import ONE, full_use
-from kelpjunction.ledger.reader import Books
+from kelpjunction.ledger.decay import FIXED_POINT_ONE, steady_state_usage
+from kelpjunction.ledger.reader import LedgerContents
 
 _PAGE = Environment(autoescape=True).from_string(
     """<!doctype html>
@@ -46,13 +46,13 @@
 
 class _Point(NamedTuple):
     at: datetime
-    amounts: Amounts
+    amounts: ResourceTime
     share: int
     against: float
     factor: float
 
 
-def _histories(books: Books) -> tuple[dict[str, list[_Point]], Policy | None]:
+def _histories(books: LedgerContents) -> tuple[dict[str, list[_Point]], Policy | None]:
     policy = books.base.policy
     found: dict[str, list[_Point]] = {}
     for entry in books.entries:
@@ -61,8 +61,10 @@
             continue
         at = datetime.fromtimestamp(entry["t"] / 1000, UTC)
         for name, row in rows_of(entry).items():
-            against = row.faded / full_use(max(1, row.share), policy.half_life)
-            found.setdefault(name, []).append(_Point(at, row.amounts, row.share, against, row.factor / ONE))
+            against = row.decayed_usage / steady_state_usage(max(1, row.share), policy.half_life)
+            found.setdefault(name, []).append(
+                _Point(at, row.resource_time, row.share, against, row.factor / FIXED_POINT_ONE)
+            )
     return found, policy
 
 
@@ -86,16 +88,16 @@
     total, sums = 0, []
     for point in points:
         total += point.amounts.cpus
-        sums.append(total / HOUR)
+        sums.append(total / UNIT_HOUR)
     return sums
 
 
-def html(books: Books, replayed: Replayed) -> str:
+def html(books: LedgerContents, replayed: Replayed) -> str:
     """The report of a ledger and of its audit."""
     histories, policy = _histories(books)
     teams = []
     for name, points in sorted(histories.items()):
-        sums = Amounts(*(sum(each) / HOUR for each in zip(*(p.amounts for p in points), strict=True)))
+        sums = ResourceTime(*(sum(each) / UNIT_HOUR for each in zip(*(p.amounts for p in points), strict=True)))
         last = points[-1]
         teams.append({"name": name, **sums._asdict(), "share": last.share / 1000, "against": last.against,
                       "factor": last.factor})  # fmt: skip
@@ -104,7 +106,8 @@
     return _PAGE.render(
         first=books.base.number + 1, last=replayed.base.number, begin=begin, end=end, teams=teams,
         half_life=f"{policy.half_life / 3_600_000:g}" if policy else "-", form=policy.form if policy else "-",
-        floor=f"{policy.floor / ONE:.3g}" if policy else "-", fault=replayed.fault, factors=replayed.factors,
+        floor=f"{policy.floor / FIXED_POINT_ONE:.3g}" if policy else "-",
+        fault=replayed.fault, factors=replayed.factors,
         pictures=[
             ("CPU hours, summed", _picture(histories, "CPU hours", _summed)),
             ("Usage against share", _picture(histories, "times the share", lambda ps: [p.against for p in ps])),
--- a/kelpjunction/store/client.py
+++ b/kelpjunction/store/client.py
@@ -19,7 +19,7 @@
 from kelpjunction.transport import NoResponse, Reply, Transport
 from kelpjunction.wire import state as wire
 from kelpjunction.wire.state import GUARDS_PER_OP, MAX_TXN_BYTES
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 log = logging.getLogger("store")
 
@@ -269,11 +269,11 @@
             self._update_reachability(True)
             try:
                 return Outcome(CommitStatus.APPLIED, revision=wire.parse_revision(reply.fields))
-            except Malformed:
+            except MalformedMessage:
                 return Outcome(CommitStatus.UNKNOWN)
         if reply.status == 409:
             self._update_reachability(True)
-            return Outcome(CommitStatus.CONFLICT, failed=wire.parse_failed(reply.fields))
+            return Outcome(CommitStatus.CONFLICT, failed=wire.parse_conflicting_keys(reply.fields))
         if reply.status == 429:
             self.refusals += 1
             self._update_reachability(True)
@@ -289,12 +289,12 @@
 
     def grant_lease(self, length: timedelta) -> int:
         """Take a hold that ends by itself unless it is extended."""
-        body = wire.hold_body(round(length.total_seconds() * 1000))
-        return self._parse(self._ask("POST", wire.HOLDS_PATH, body, timedelta(seconds=2)), wire.parse_hold)
+        body = wire.lease_body(round(length.total_seconds() * 1000))
+        return self._parse(self._ask("POST", wire.STORE_LEASES_PATH, body, timedelta(seconds=2)), wire.parse_lease)
 
     def extend_lease(self, lease: int, timeout: timedelta) -> None:
         """Extend a hold; raises `StoreLeaseExpired` if it has ended."""
-        reply = self._ask("POST", wire.hold_path(lease, "/extend"), b"{}", timeout)
+        reply = self._ask("POST", wire.lease_path(lease, "/extend"), b"{}", timeout)
         if reply.status == 404:
             raise StoreLeaseExpired
         self._parse(reply, lambda fields: fields)
@@ -323,7 +323,7 @@
             raise StoreUnavailable(f"odd status {reply.status}: {reply.fields}")
         try:
             return parser(reply.fields)
-        except Malformed as error:
+        except MalformedMessage as error:
             log.error("odd answer from the state service: %s", error)
             raise StoreUnavailable(str(error)) from error
 
--- a/kelpjunction/tickets/classes.py
+++ b/kelpjunction/tickets/classes.py
@@ -10,14 +10,14 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.settings import SettingsError
-from kelpjunction.tickets.course import End, Final
+from kelpjunction.tickets.progress import FinalRecord, FinalState
 
 SCHEMA = orjson.loads(Path(__file__).with_name("tickets.schema.json").read_bytes())
 _check = fastjsonschema.compile(SCHEMA)
 _fill_in = fastjsonschema.compile(SCHEMA["properties"]["classes"]["additionalProperties"])
 
 
-class Runs(Enum):
+class RerunPolicy(Enum):
     """How often the same ticket may run."""
 
     ONCE = "once"
@@ -31,12 +31,12 @@
     """A ticket class; the schema holds the defaults and says what each part means."""
 
     name: str
-    runs: Runs
-    times: int
-    pause: timedelta
-    remember: timedelta
-    failures: int
-    finish: bool  # whether steps go on that do not depend on a failed one
+    rerun_policy: RerunPolicy
+    max_runs: int
+    min_rerun_interval: timedelta
+    retention: timedelta
+    failure_limit: int
+    continue_on_failure: bool  # whether steps go on that do not depend on a failed one
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,19 +45,20 @@
 
     name: str
     listen: str
-    most_live: int
-    most_remembered: int
+    max_unfinished_runs: int
+    max_remembered_runs: int
     classes: dict[str, TicketClass]
 
-    def klass(self, name: str) -> TicketClass:
+    def ticket_class(self, name: str) -> TicketClass:
         """The class of an accepted ticket, also if it was taken out of the file meanwhile."""
-        return self.classes.get(name) or _class(name, {"runs": Runs.ONCE.value})
+        return self.classes.get(name) or _class(name, {"runs": RerunPolicy.ONCE.value})
 
 
 def _class(name: str, raw: dict) -> TicketClass:
     raw = _fill_in(dict(raw))
     return TicketClass(
-        name, Runs(raw["runs"]), raw["times"], seconds(raw["pause_s"]), seconds(raw["remember_s"]), raw["failures"],
+        name, RerunPolicy(raw["runs"]), raw["times"], seconds(raw["pause_s"]), seconds(raw["remember_s"]),
+        raw["failures"],
         raw["on_failure"] == "finish",
     )  # fmt: skip
 
@@ -74,14 +75,14 @@
     return TicketSettings(raw["name"], raw["listen"], raw["most_live"], raw["most_remembered"], classes)
 
 
-def runs_again(klass: TicketClass, run: int, end: End | None, now: datetime) -> bool:
+def runs_again(klass: TicketClass, run: int, end: FinalRecord | None, now: datetime) -> bool:
     """Whether a ticket that comes again gets a new run after its run of this number; `end` is None while that lasts."""
-    if klass.runs is Runs.ALWAYS:
+    if klass.rerun_policy is RerunPolicy.ALWAYS:
         return True
     if end is None:
         return False
-    if now >= end.until:
+    if now >= end.remembered_until:
         return True  # it is forgotten, whether or not its records are gone yet
-    if klass.runs is Runs.AFTER_FAILURE:
-        return end.final is Final.FAILED and run < klass.times
-    return klass.runs is Runs.AFTER_PAUSE and now - end.at >= klass.pause
+    if klass.rerun_policy is RerunPolicy.AFTER_FAILURE:
+        return end.final_state is FinalState.FAILED and run < klass.max_runs
+    return klass.rerun_policy is RerunPolicy.AFTER_PAUSE and now - end.ended_at >= klass.min_rerun_interval
--- a/kelpjunction/tickets/gateway.py
+++ b/kelpjunction/tickets/gateway.py
@@ -29,20 +29,20 @@
 from kelpjunction.store.mirror import LIVE_PREFIX, Mirror, Verifier
 from kelpjunction.tickets import users
 from kelpjunction.tickets.classes import TicketSettings
-from kelpjunction.tickets.desk import Desk
-from kelpjunction.tickets.driver import Driver
+from kelpjunction.tickets.reconciler import TicketReconciler
 from kelpjunction.tickets.records import PREFIX, TicketRecords
-from kelpjunction.tickets.steps import Steps
+from kelpjunction.tickets.requests import TicketRequests
+from kelpjunction.tickets.step_planner import StepPlanner
 from kelpjunction.transport import HttpTransport, Transport
 from kelpjunction.wire.cloud import parse_catalog
 from kelpjunction.wire.messages import MachineType
-from kelpjunction.wire.users import HEALTH_PATH, Malformed, error_answer
+from kelpjunction.wire.users import HEALTH_PATH, MalformedMessage, error_answer
 
 log = logging.getLogger("tickets")
 
 WRITE_SHARE = 0.2  # of the state service's rate of changes: the nodes' rounds need the most
 REQUEST_SHARE = 0.05  # of its rate of requests, for watches and comparisons
-DRIVE_EVERY = seconds(0.25)
+RECONCILE_INTERVAL = seconds(0.25)
 SWEEP_EVERY = seconds(10)
 MOST_CONNECTIONS = 500  # of users
 CONNECTIONS = 8  # to the state service
@@ -67,8 +67,8 @@
         self.store = StoreClient(transport, platform.store_address, platform.store, clock, pause, WRITE_SHARE)
         self.jobs = Mirror(self.store, clock, watches[0])
         self.tickets = Mirror(self.store, clock, watches[1], PREFIX)
-        self.book = JobIndex(ChangeTracker())
-        self.jobs.listen(LIVE_PREFIX, self.book.changed)
+        self.job_index = JobIndex(ChangeTracker())
+        self.jobs.listen(LIVE_PREFIX, self.job_index.changed)
         self.request_rate = platform.store.rps * REQUEST_SHARE
         self._catalog: tuple[int, dict[str, MachineType]] = (0, {})
         self.leadership = Leadership(
@@ -76,16 +76,18 @@
             f"{random_source.getrandbits(64):016x}", self._reign_changed, Recorder(clock), PREFIX,
         )  # fmt: skip
         self.records = TicketRecords(self.store, self.tickets, self.jobs, clock)
-        steps = Steps(settings, self.store, self.jobs, self.records, self.book, clock, watches[0])
-        self.driver = Driver(settings, self.store, self.tickets, self.jobs, self.records, steps, self.book, clock)
-        self.desk = Desk(
+        steps = StepPlanner(settings, self.store, self.jobs, self.records, self.job_index, clock, watches[0])
+        self.reconciler = TicketReconciler(
+            settings, self.store, self.tickets, self.jobs, self.records, steps, self.job_index, clock
+        )
+        self.ticket_requests = TicketRequests(
             settings, platform.teams, self.store, self.tickets,
-            Verifier(self.store, spawn, pause, self.request_rate), self.records, steps, self.book, self.catalog,
+            Verifier(self.store, spawn, pause, self.request_rate), self.records, steps, self.job_index, self.catalog,
             clock, random_source,
         )  # fmt: skip
 
-    def _reign_changed(self, reign: LeaderTerm | None) -> None:
-        self.driver.lead(reign)
+    def _reign_changed(self, leader_term: LeaderTerm | None) -> None:
+        self.reconciler.set_leader_term(leader_term)
 
     def catalog(self) -> dict[str, MachineType]:
         """The machine types as the nodes' leader last read them; empty if unknown yet."""
@@ -107,19 +109,19 @@
             return False
         return True
 
-    def drive(self) -> bool:
+    def reconcile(self) -> bool:
         """A step as the one that drives, if this gateway is; whether another should follow at once."""
         if not (self.jobs.loaded and self.tickets.loaded):
             return False
         try:
-            return self.driver.step()
+            return self.reconciler.run_once()
         except StoreUnavailable as error:
             log.debug("step given up: %s", error)
             return False
 
     def sweep(self) -> None:
         try:
-            self.driver.sweep()
+            self.reconciler.sweep()
         except StoreUnavailable as error:
             log.debug("swept later: %s", error)
 
@@ -133,7 +135,7 @@
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         try:
             answer = self._route(environ["REQUEST_METHOD"], environ["PATH_INFO"], environ)
-        except Malformed as error:
+        except MalformedMessage as error:
             answer = UserResponse(400, error_answer(str(error)))
         except Exception:
             log.exception("%s %s failed", environ["REQUEST_METHOD"], environ["PATH_INFO"])
@@ -141,7 +143,7 @@
         return respond(start_response, answer)
 
     def _route(self, method: str, path: str, environ: dict) -> UserResponse:
-        desk = self._gateway.desk
+        desk = self._gateway.ticket_requests
         if path == HEALTH_PATH:
             return UserResponse(200 if self._gateway.healthy else 503, b"{}")
         if path == users.TICKETS_PATH:
@@ -204,11 +206,11 @@
 
     def _lead(self) -> None:
         self.gateway.leadership.run_once()
-        sleep(self.gateway.leadership.heartbeat_interval if self.gateway.tickets.loaded else DRIVE_EVERY)
+        sleep(self.gateway.leadership.heartbeat_interval if self.gateway.tickets.loaded else RECONCILE_INTERVAL)
 
     def _drive(self) -> None:
-        if not self.gateway.drive():
-            sleep(DRIVE_EVERY)
+        if not self.gateway.reconcile():
+            sleep(RECONCILE_INTERVAL)
 
     def _sweep(self) -> None:
         sleep(SWEEP_EVERY)
--- a/kelpjunction/tickets/wire.py
+++ b/kelpjunction/tickets/job_template.py
@@ -20,34 +20,34 @@
 )
 from pydantic import ValidationError
 
-from kelpjunction.tickets.plan import Amount, Attribute, Fault, Refused, Step
+from kelpjunction.tickets.plan import Amount, Attribute, Step, TicketRejected, Violation
 
 MAX_BYTES = 64 * 1024
 MAX_DEPTH = 32
 EXTENSIONS = ("TASK_CHUNKING",)
 TEMPLATES_KEPT = 64
-KEPT_BYTES = 8 * 1024  # of a template that is kept decoded, at most
-NOWHERE = Path("/")  # paths in parameters are the worker's business
+MAX_CACHED_TEMPLATE_BYTES = 8 * 1024  # of a template that is kept decoded, at most
+PLACEHOLDER_DIR = Path("/")  # paths in parameters are the worker's business
 
 
 def resolve(document: dict, parameters: dict[str, str]) -> tuple[str, list[Step]]:
-    """A ticket's name and its steps with parameters resolved; raises `Refused`."""
+    """A ticket's name and its steps with parameters resolved; raises `TicketRejected`."""
     if _depth(document) > MAX_DEPTH:
-        raise Refused([Fault("", "", f"a ticket is nested at most {MAX_DEPTH} deep")])
+        raise TicketRejected([Violation("", "", f"a ticket is nested at most {MAX_DEPTH} deep")])
     template = _template(document)
     try:
         values = preprocess_job_parameters(
             job_template=template,
             job_parameter_values=parameters,
-            job_template_dir=NOWHERE,
-            current_working_dir=NOWHERE,
+            job_template_dir=PLACEHOLDER_DIR,
+            current_working_dir=PLACEHOLDER_DIR,
             allow_job_template_dir_walk_up=True,
         )
         job = create_job(job_template=template, job_parameter_values=values)
     except DecodeValidationError as error:
-        raise Refused(_faults(str(error))) from error
+        raise TicketRejected(_faults(str(error))) from error
     except ValueError as error:
-        raise Refused(Fault("parameterDefinitions", "", line) for line in str(error).splitlines()) from error
+        raise TicketRejected(Violation("parameterDefinitions", "", line) for line in str(error).splitlines()) from error
     return job.name, [_step(step) for step in job.steps]
 
 
@@ -60,24 +60,24 @@
     return depth
 
 
-def document_of(text: bytes) -> dict:
+def parse_document(text: bytes) -> dict:
     """A ticket's JSON or YAML as an object; refused by size and depth before anything is made of it."""
     if len(text) > MAX_BYTES:
-        raise Refused([Fault("", f"{len(text)} bytes", f"a ticket has at most {MAX_BYTES} bytes")])
+        raise TicketRejected([Violation("", f"{len(text)} bytes", f"a ticket has at most {MAX_BYTES} bytes")])
     try:
         depth = 0
         for event in yaml.parse(text, Loader=yaml.SafeLoader):
             depth += isinstance(event, yaml.CollectionStartEvent) - isinstance(event, yaml.CollectionEndEvent)
             if depth > MAX_DEPTH:
-                raise Refused([Fault("", "", f"a ticket is nested at most {MAX_DEPTH} deep")])
+                raise TicketRejected([Violation("", "", f"a ticket is nested at most {MAX_DEPTH} deep")])
             if isinstance(event, yaml.AliasEvent):
                 # A few of them, nested, stand for more than any memory holds.
-                raise Refused([Fault("", f"*{event.anchor}", "aliases are not taken")])
+                raise TicketRejected([Violation("", f"*{event.anchor}", "aliases are not taken")])
         document = yaml.safe_load(text)
     except (yaml.YAMLError, UnicodeDecodeError, ValueError, RecursionError) as error:
-        raise Refused([Fault("", "", f"neither JSON nor YAML: {' '.join(str(error).split())}")]) from error
+        raise TicketRejected([Violation("", "", f"neither JSON nor YAML: {' '.join(str(error).split())}")]) from error
     if not isinstance(document, dict):
-        raise Refused([Fault("", type(document).__name__, "a ticket is an object")])
+        raise TicketRejected([Violation("", type(document).__name__, "a ticket is an object")])
     return document
 
 
@@ -87,7 +87,7 @@
         content = orjson.dumps(document)
     except TypeError:  # YAML knows more than JSON: the library says what is wrong with it
         return _decoded(document)
-    return _known_template(content) if len(content) <= KEPT_BYTES else _decoded(document)
+    return _known_template(content) if len(content) <= MAX_CACHED_TEMPLATE_BYTES else _decoded(document)
 
 
 @lru_cache(maxsize=TEMPLATES_KEPT)
@@ -99,31 +99,31 @@
     try:
         return decode_job_template(template=document, supported_extensions=EXTENSIONS)
     except DecodeValidationError as error:
-        raise Refused(_faults(str(error))) from error
+        raise TicketRejected(_faults(str(error))) from error
     except IndexError as error:
         # The library fails to put together its report where a fault belongs
         # to no field, as steps that depend on one another in a circle do.
-        raise Refused(_unplaced(error)) from error
+        raise TicketRejected(_unplaced(error)) from error
     except (ValueError, TypeError, RecursionError) as error:
-        raise Refused([Fault("", "", " ".join(str(error).split()))]) from error
+        raise TicketRejected([Violation("", "", " ".join(str(error).split()))]) from error
 
 
-def _unplaced(error: IndexError) -> list[Fault]:
+def _unplaced(error: IndexError) -> list[Violation]:
     if not isinstance(error.__context__, ValidationError):
         raise error
-    return [Fault(".".join(map(str, e["loc"])) or "steps", "", e["msg"]) for e in error.__context__.errors()]
+    return [Violation(".".join(map(str, e["loc"])) or "steps", "", e["msg"]) for e in error.__context__.errors()]
 
 
-def _faults(message: str) -> list[Fault]:
+def _faults(message: str) -> list[Violation]:
     """The library's report as faults: a line for each path, its rules indented below."""
-    found: list[Fault] = []
+    found: list[Violation] = []
     path = ""
     for line in message.splitlines()[1:]:
         if line.startswith("\t"):
-            found.append(Fault(path, "", line.strip()))
+            found.append(Violation(path, "", line.strip()))
         else:
             path = line.strip().rstrip(":").replace(" -> ", ".")
-    return found or [Fault("", "", message)]
+    return found or [Violation("", "", message)]
 
 
 def _step(step: Any) -> Step:
--- a/kelpjunction/tickets/plan.py
+++ b/kelpjunction/tickets/plan.py
@@ -23,7 +23,7 @@
 MIB_A_GB = 1024
 
 
-class Fault(NamedTuple):
+class Violation(NamedTuple):
     """One thing that is wrong with a ticket."""
 
     path: str
@@ -35,16 +35,16 @@
         return f"{where}{self.rule}" + (f" (it is {self.value})" if self.value else "")
 
 
-class Refused(Exception):
-    """A ticket can't be taken; `faults` lists why, all that were found.
+class TicketRejected(Exception):
+    """A ticket can't be taken; `violations` lists why, all that were found.
 
     `status` is what HTTP says: 400 for a malformed ticket, 422 for one that can never run.
     """
 
-    def __init__(self, faults: Iterable[Fault], status: int = 400) -> None:
-        self.faults = list(faults)
+    def __init__(self, faults: Iterable[Violation], status: int = 400) -> None:
+        self.violations = list(faults)
         self.status = status
-        super().__init__("; ".join(map(str, self.faults)))
+        super().__init__("; ".join(map(str, self.violations)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class SubmissionOptions:
     """What the format has no place for, given with a ticket: who pays, how urgent, what images and how long."""
 
     team: str
@@ -97,7 +97,7 @@
     """The job that a step becomes."""
 
     name: str
-    after: tuple[int, ...]  # the places in the plan of the jobs that must be done before
+    depends_on: tuple[int, ...]  # the places in the plan of the jobs that must be done before
     spec: JobSpec
 
 
@@ -111,7 +111,7 @@
 
     def record(self) -> dict:
         """All of it, as JSON."""
-        jobs = [[j.name, j.after, users.fields_to_keep(users.submission(j.spec))] for j in self.jobs]
+        jobs = [[j.name, j.depends_on, users.fields_to_keep(users.fields_from_job(j.spec))] for j in self.jobs]
         return {"ticket": self.ticket, "name": self.name, "jobs": jobs}
 
     @classmethod
@@ -136,11 +136,11 @@
     return f"j-{int.from_bytes(digest) % 10**REF_DIGITS:0{REF_DIGITS}d}"
 
 
-def plan(ticket: str, name: str, steps: list[Step], order: Order) -> Plan:
-    """The jobs of a ticket; raises `Refused` with everything that can't be mapped."""
-    faults: list[Fault] = []
+def build_plan(ticket: str, name: str, steps: list[Step], order: SubmissionOptions) -> Plan:
+    """The jobs of a ticket; raises `TicketRejected` with everything that can't be mapped."""
+    faults: list[Violation] = []
     if len(steps) > MOST_STEPS:
-        faults.append(Fault("steps", str(len(steps)), f"a ticket has at most {MOST_STEPS} steps"))
+        faults.append(Violation("steps", str(len(steps)), f"a ticket has at most {MOST_STEPS} steps"))
     places = {step.name: place for place, step in enumerate(_in_turn(steps))}
     jobs: dict[str, StepJob] = {}
     for number, step in enumerate(steps):
@@ -149,7 +149,7 @@
         needs.read(step)
         if not 1 <= step.tasks <= MOST_TASKS:
             rule = f"a step has 1 to {MOST_TASKS} tasks"
-            faults.append(Fault(f"{path}.parameterSpace", str(step.tasks), rule))
+            faults.append(Violation(f"{path}.parameterSpace", str(step.tasks), rule))
         spec = JobSpec(
             ref=job_ref(ticket, places[step.name]), klass=order.klass, team=order.team, shape=Shape.ARRAY,
             priority=order.priority,
@@ -160,7 +160,7 @@
         )  # fmt: skip
         jobs[step.name] = StepJob(step.name, tuple(sorted(places[d] for d in step.depends_on)), spec)
     if faults:
-        raise Refused(faults)
+        raise TicketRejected(faults)
     return Plan(ticket, name, tuple(jobs[step.name] for step in sorted(steps, key=lambda s: places[s.name])))
 
 
@@ -178,7 +178,7 @@
 class _Needs:
     """What a step's host requirements come to; what can't be mapped is a fault."""
 
-    def __init__(self, path: str, faults: list[Fault]) -> None:
+    def __init__(self, path: str, faults: list[Violation]) -> None:
         self._path = path
         self._faults = faults
         self.cpus: float | None = None
@@ -194,7 +194,7 @@
             self._attribute(f"{self._path}.attributes[{number}]", attribute)
 
     def _fault(self, path: str, value: object, rule: str) -> None:
-        self._faults.append(Fault(path, str(value), rule))
+        self._faults.append(Violation(path, str(value), rule))
 
     def _amount(self, path: str, amount: Amount) -> None:
         if amount.most is not None:
--- a/kelpjunction/tickets/course.py
+++ b/kelpjunction/tickets/progress.py
@@ -1,7 +1,7 @@
 """How an accepted ticket stands, step by step, until its one final answer.  Pure.
 
 A ticket's steps wait, are sent (their job exists) and end.  Its course is one
-record; `Course.moved` makes every change of it, and whoever writes it guards
+record; `TicketProgress.with_step_states` makes every change of it, and whoever writes it guards
 the version he read, so that any gateway may, and two never both do.
 """
 
@@ -31,7 +31,7 @@
 UNFINISHED = frozenset(_MAY)
 
 
-class Final(Enum):
+class FinalState(Enum):
     """A ticket's final answer."""
 
     DONE = "done"
@@ -48,12 +48,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
+class TicketProgress:
     """An unfinished ticket; `plan` is packed, or names the parts that hold it, and `salt` is in its jobs' ids."""
 
     klass: str
     team: str
-    at: datetime
+    accepted_at: datetime
     states: tuple[StepState, ...]
     plan: str | list
     salt: str
@@ -61,7 +61,7 @@
     stopping: bool = False  # nothing is sent any more
     failure: Failure | None = None  # the first
 
-    def moved(self, steps: Mapping[int, StepState], failure: Failure | None = None) -> "Course":
+    def with_step_states(self, steps: Mapping[int, StepState], failure: Failure | None = None) -> "TicketProgress":
         """The one place where steps change."""
         states = list(self.states)
         for place, state in steps.items():
@@ -70,53 +70,54 @@
             states[place] = state
         return replace(self, states=tuple(states), failure=self.failure or failure)
 
-    def halted(self, cancelled: bool = False) -> "Course":
+    def with_submission_stopped(self, cancelled: bool = False) -> "TicketProgress":
         """Nothing is sent from now on: steps that wait are cancelled, and those that were sent are to be stopped."""
         waiting = {i: StepState.CANCELLED for i, s in enumerate(self.states) if s is StepState.WAITING}
-        return replace(self.moved(waiting), stopping=True, cancelled=self.cancelled or cancelled)
+        return replace(self.with_step_states(waiting), stopping=True, cancelled=self.cancelled or cancelled)
 
-    def without_hope(self, plan: Plan) -> "Course":
+    def with_blocked_steps_cancelled(self, plan: Plan) -> "TicketProgress":
         """Steps that wait for one that will never be done are cancelled."""
         states = list(self.states)
         lost = {StepState.FAILED, StepState.CANCELLED}
         for place, job in enumerate(plan.jobs):
-            if states[place] is StepState.WAITING and any(states[i] in lost for i in job.after):
+            if states[place] is StepState.WAITING and any(states[i] in lost for i in job.depends_on):
                 states[place] = StepState.CANCELLED
-        return self.moved({i: s for i, s in enumerate(states) if s is not self.states[i]})
+        return self.with_step_states({i: s for i, s in enumerate(states) if s is not self.states[i]})
 
-    def ready(self, plan: Plan) -> list[int]:
+    def ready_steps(self, plan: Plan) -> list[int]:
         """The steps to send now."""
         return [
             place
             for place, job in enumerate(plan.jobs)
-            if self.states[place] is StepState.WAITING and all(self.states[i] is StepState.DONE for i in job.after)
+            if self.states[place] is StepState.WAITING and all(self.states[i] is StepState.DONE for i in job.depends_on)
         ]
 
     @property
-    def sent(self) -> list[int]:
+    def sent_steps(self) -> list[int]:
         return [i for i, s in enumerate(self.states) if s is StepState.SENT]
 
     @property
-    def final(self) -> Final | None:
+    def final_state(self) -> FinalState | None:
         """The final answer, once no step waits or is sent."""
         if UNFINISHED.intersection(self.states):
             return None
         if set(self.states) == {StepState.DONE}:
-            return Final.DONE  # also if its user asked to cancel it after its last job had ended
+            return FinalState.DONE  # also if its user asked to cancel it after its last job had ended
         if self.cancelled:
-            return Final.CANCELLED
-        return Final.FAILED if self.failure else Final.DONE
+            return FinalState.CANCELLED
+        return FinalState.FAILED if self.failure else FinalState.DONE
 
     def record(self) -> dict:
         record = {
-            "class": self.klass, "team": self.team, "at": self.at.timestamp(), "plan": self.plan, "salt": self.salt,
+            "class": self.klass, "team": self.team, "at": self.accepted_at.timestamp(), "plan": self.plan,
+            "salt": self.salt,
             "steps": "".join(s.value for s in self.states),
         }  # fmt: skip
         flags = {name: True for name in ("cancelled", "stopping") if getattr(self, name)}
         return record | flags | ({"failure": list(self.failure)} if self.failure else {})
 
     @classmethod
-    def parse(cls, record: Mapping) -> "Course":
+    def parse(cls, record: Mapping) -> "TicketProgress":
         failure = record.get("failure")
         return cls(
             record["class"], record["team"], datetime.fromtimestamp(record["at"], UTC),
@@ -125,25 +126,25 @@
         )  # fmt: skip
 
 
-class End(NamedTuple):
+class FinalRecord(NamedTuple):
     """A ticket's final record: its answer, when it ended, until when it is remembered."""
 
-    final: Final
-    at: datetime
-    until: datetime
+    final_state: FinalState
+    ended_at: datetime
+    remembered_until: datetime
     states: tuple[StepState, ...]
     failure: Failure | None
 
     def record(self) -> dict:
         record = {
-            "end": self.final.value, "at": self.at.timestamp(), "until": self.until.timestamp(),
+            "end": self.final_state.value, "at": self.ended_at.timestamp(), "until": self.remembered_until.timestamp(),
             "steps": "".join(s.value for s in self.states),
         }  # fmt: skip
         return record | ({"failure": list(self.failure)} if self.failure else {})
 
     @classmethod
-    def parse(cls, record: Mapping) -> "End":
+    def parse(cls, record: Mapping) -> "FinalRecord":
         at, until = (datetime.fromtimestamp(record[name], UTC) for name in ("at", "until"))
         failure = record.get("failure")
         states = tuple(map(StepState, record["steps"]))
-        return cls(Final(record["end"]), at, until, states, Failure(*failure) if failure else None)
+        return cls(FinalState(record["end"]), at, until, states, Failure(*failure) if failure else None)
