--- a/kelpjunction/tickets/driver.py
+++ b/kelpjunction/tickets/reconciler.py
@@ -24,16 +24,16 @@
     STAGE_PREFIX,
     TICKET_PREFIX,
     TicketRecords,
+    job_ref_seed,
     part_key,
-    salted,
 )
-from kelpjunction.tickets.steps import Steps
+from kelpjunction.tickets.step_planner import StepPlanner
 
-MOST_AT_ONCE = 200  # runs looked at in a step
-STAGED_FOR = timedelta(minutes=5)  # at most, until a plan that was not accepted is dead
+MAX_RUNS_PER_PASS = 200  # runs looked at in a step
+STAGED_PLAN_TIMEOUT = timedelta(minutes=5)  # at most, until a plan that was not accepted is dead
 SWEEP_AT_ONCE = 20  # records forgotten in a sweep
-CLOCKS_APART = timedelta(seconds=5)  # between two gateways, at most
-ROOM_AGAIN = 0.95  # of the remembered tickets, where new ones are taken again
+MAX_CLOCK_SKEW = timedelta(seconds=5)  # between two gateways, at most
+ACCEPT_AGAIN_RATIO = 0.95  # of the remembered tickets, where new ones are taken again
 
 
 class _Known(NamedTuple):
@@ -43,7 +43,7 @@
     refs: set[str]
 
 
-class Driver:
+class TicketReconciler:
     """Drives all runs while this gateway leads, and forgets what is to be forgotten."""
 
     def __init__(
@@ -53,36 +53,36 @@
         tickets: Mirror,
         jobs: Mirror,
         records: TicketRecords,
-        steps: Steps,
-        book: JobIndex,
+        step_planner: StepPlanner,
+        job_index: JobIndex,
         clock: Clock,
     ) -> None:
         self._settings = settings
         self._store = store
         self._tickets = tickets
         self._records = records
-        self._steps = steps
-        self._book = book
+        self._step_planner = step_planner
+        self._job_index = job_index
         self._clock = clock
-        self.reign: LeaderTerm | None = None
+        self.leader_term: LeaderTerm | None = None
         self._changed: set[str] = set()  # runs to look at
         self._run_of: dict[str, str] = {}  # of each job that is sent and not known to have ended
         self._known: dict[str, _Known] = {}
         self._ended: set[str] = set()  # jobs of those that are gone from the live keys
         self._apart = False  # whether the last transaction failed: each run is then written alone
         self._remembered: list[tuple[float, str]] | None = None  # (until, run): a heap; None until it was read
-        self.looked_at = 0  # runs, since this process began
+        self.runs_examined = 0  # runs, since this process began
         tickets.listen(TICKET_PREFIX, self._ticket_changed)
         jobs.listen(JOB_PREFIX, self._job_changed)
         jobs.listen(RUN_PREFIX, self._part_changed)
 
-    def lead(self, reign: LeaderTerm | None) -> None:
+    def set_leader_term(self, leader_term: LeaderTerm | None) -> None:
         """This gateway drives from now on, or no longer."""
-        if reign is not None and self.reign is None:
-            self._changed = set(self._records.live)
-        if reign is None:
+        if leader_term is not None and self.leader_term is None:
+            self._changed = set(self._records.unfinished_runs)
+        if leader_term is None:
             self._remembered = None
-        self.reign = reign
+        self.leader_term = leader_term
 
     # -- what changed ---------------------------------------------------------------
 
@@ -94,13 +94,13 @@
             self._ended.discard(ref)
         if value is not None:
             self._changed.add(run)
-            course = self._records.live[run].course
-            refs = {job_ref(salted(run, course.salt), place) for place in course.sent}
+            course = self._records.unfinished_runs[run].progress
+            refs = {job_ref(job_ref_seed(run, course.salt), place) for place in course.sent_steps}
             self._known[run] = _Known(course.klass, refs)
             self._run_of |= dict.fromkeys(refs, run)
         elif known is not None and self._remembered is not None:
             # Whichever gateway ended it, by whose clock so ever.
-            until = self._clock.utc() + self._settings.klass(known.klass).remember + CLOCKS_APART
+            until = self._clock.utc() + self._settings.ticket_class(known.klass).retention + MAX_CLOCK_SKEW
             heapq.heappush(self._remembered, (until.timestamp(), run))
 
     def _job_changed(self, key: str, value: dict | None, version: int) -> None:
@@ -116,30 +116,30 @@
 
     # -- driving --------------------------------------------------------------------
 
-    def step(self) -> bool:
+    def run_once(self) -> bool:
         """Write what follows from what changed; whether more is left to do at once.  Raises `StoreUnavailable`."""
-        if self.reign is None:
+        if self.leader_term is None:
             self._changed.clear()
             return False
         if self._ended:
-            self._steps.read_ends(set(self._run_of))
+            self._step_planner.read_job_outcomes(set(self._run_of))
             self._ended.clear()
-        runs = [self._changed.pop() for _ in range(min(MOST_AT_ONCE, len(self._changed)))]
+        runs = [self._changed.pop() for _ in range(min(MAX_RUNS_PER_PASS, len(self._changed)))]
         txns: list[Transaction] = []
         again: set[str] = set()
         try:
             for run in runs:
-                self.looked_at += 1
-                live = self._records.live.get(run)
+                self.runs_examined += 1
+                live = self._records.unfinished_runs.get(run)
                 if live is None:
                     continue
-                txn = self._steps.next(live)
+                txn = self._step_planner.next_change(live)
                 if txn is not None:
                     txns.append(txn)
-                elif any(ref not in self._book.jobs for ref in self._known[run].refs):
+                elif any(ref not in self._job_index.jobs for ref in self._known[run].refs):
                     again.add(run)  # this gateway's copy of the jobs lags
             for group in [[txn] for txn in txns] if self._apart else [txns]:
-                if not self._records.apply(group, Purpose.RESULT):
+                if not self._records.commit(group, Purpose.RESULT):
                     # One that can't be written must not keep back those merged with it.
                     self._apart = not self._apart
                     self._changed.update(runs)
@@ -156,7 +156,7 @@
 
     def sweep(self) -> None:
         """Forget ended runs whose time is over, and plans staged but not accepted; raises `StoreUnavailable`."""
-        if self.reign is None:
+        if self.leader_term is None:
             return
         now = self._clock.utc()
         if self._remembered is None:
@@ -171,7 +171,7 @@
             heapq.heappop(self._remembered)
         self._tell_full()
         for owner in self._store.scan(STAGE_PREFIX)[0]:
-            old = "at" in owner.value and now.timestamp() - owner.value["at"] > STAGED_FOR.total_seconds()
+            old = "at" in owner.value and now.timestamp() - owner.value["at"] > STAGED_PLAN_TIMEOUT.total_seconds()
             if old:
                 # From here on nobody can accept it.
                 dead = {"dead": True, "parts": owner.value["parts"]}
@@ -191,11 +191,11 @@
         return outcome.status is CommitStatus.APPLIED
 
     def _tell_full(self) -> None:
-        count, most = len(self._remembered), self._settings.most_remembered
+        count, most = len(self._remembered), self._settings.max_remembered_runs
         told = self._tickets.get(FULL_KEY)
         if told is None and count >= most:
             self._store.commit({FULL_KEY: 0}, {FULL_KEY: count}, purpose=Purpose.RESULT)
-        elif told is not None and count < most * ROOM_AGAIN:
+        elif told is not None and count < most * ACCEPT_AGAIN_RATIO:
             self._store.commit({FULL_KEY: told.version}, {}, [FULL_KEY], purpose=Purpose.RESULT)
 
     def _clear(self, owner: str, parts: int) -> None:
--- a/kelpjunction/tickets/records.py
+++ b/kelpjunction/tickets/records.py
@@ -28,8 +28,8 @@
 from kelpjunction.rate_limiter import Purpose
 from kelpjunction.store.client import CommitStatus, StoreClient, StoreUnavailable, Transaction, pack_transactions
 from kelpjunction.store.mirror import LIVE_PREFIX, Mirror
-from kelpjunction.tickets.course import Course, End
 from kelpjunction.tickets.plan import Plan
+from kelpjunction.tickets.progress import FinalRecord, TicketProgress
 from kelpjunction.wire import users
 from kelpjunction.wire.messages import JobSpec
 
@@ -42,38 +42,38 @@
 ENDED_PREFIX = "t/end/"
 STAGE_PREFIX = "t/stage/"
 PART_PREFIX = "t/part/"
-PLANS_KEPT = 2_000
-SENDING_BYTES = 32 * 1024  # of a transaction, at most, for the jobs that it submits
+PLAN_CACHE_SIZE = 2_000
+MAX_SUBMISSION_BYTES = 32 * 1024  # of a transaction, at most, for the jobs that it submits
 
 
 def part_key(token: str, number: int) -> str:
     return f"{PART_PREFIX}{token}/{number:04d}"
 
 
-def salted(run: str, salt: str) -> str:
+def job_ref_seed(run: str, salt: str) -> str:
     """What the ids of a run's jobs are made of."""
     return f"{run}/{salt}"
 
 
-def pack(made: Plan) -> str:
+def encode_plan(made: Plan) -> str:
     """A plan as text."""
     return base64.b64encode(zlib.compress(orjson.dumps(made.record()))).decode()
 
 
-def unpack(text: str) -> Plan:
+def decode_plan(text: str) -> Plan:
     return Plan.parse(orjson.loads(zlib.decompress(base64.b64decode(text))))
 
 
 def _job_record(spec: JobSpec, now: datetime) -> dict:
-    return job_record(users.fields_to_keep(users.submission(spec)), now)
+    return job_record(users.fields_to_keep(users.fields_from_job(spec)), now)
 
 
-class Live(NamedTuple):
+class UnfinishedRun(NamedTuple):
     """An unfinished run as this gateway last saw it."""
 
     run: str
     version: int
-    course: Course
+    progress: TicketProgress
 
 
 class TicketRecords:
@@ -85,23 +85,23 @@
         self._jobs = jobs
         self._clock = clock
         self._plans: OrderedDict[str, Plan] = OrderedDict()
-        self.live: dict[str, Live] = {}
+        self.unfinished_runs: dict[str, UnfinishedRun] = {}
         tickets.listen(TICKET_PREFIX, self._changed)
 
     def _changed(self, key: str, value: dict | None, version: int) -> None:
         run = key.removeprefix(TICKET_PREFIX)
         if value is None:
-            self.live.pop(run, None)
+            self.unfinished_runs.pop(run, None)
             self._plans.pop(run, None)
         else:
-            self.live[run] = Live(run, version, Course.parse(value))
+            self.unfinished_runs[run] = UnfinishedRun(run, version, TicketProgress.parse(value))
 
-    def plan(self, live: Live) -> Plan:
+    def plan(self, live: UnfinishedRun) -> Plan:
         """What the run's steps are; raises `StoreUnavailable`."""
         if (known := self._plans.get(live.run)) is not None:
             self._plans.move_to_end(live.run)
             return known
-        text = live.course.plan
+        text = live.progress.plan
         if not isinstance(text, str):
             token, count = text
             parts = [self._store.get(part_key(token, number)) for number in range(count)]
@@ -109,11 +109,11 @@
                 # They go only after the run has ended.
                 raise StoreUnavailable(f"{live.run} ended meanwhile")
             text = "".join(part.value for part in parts)
-        return self.keep_plan(live.run, unpack(text))
+        return self.keep_plan(live.run, decode_plan(text))
 
     def keep_plan(self, run: str, made: Plan) -> Plan:
         self._plans[run] = made
-        if len(self._plans) > PLANS_KEPT:
+        if len(self._plans) > PLAN_CACHE_SIZE:
             self._plans.popitem(last=False)
         return made
 
@@ -124,48 +124,50 @@
         return len(orjson.dumps(_job_record(spec, self._clock.utc())))
 
     @property
-    def room(self) -> int:
+    def max_jobs_per_transaction(self) -> int:
         """How many jobs one transaction may submit or cancel beside what it changes of a ticket."""
         return self._store.limits.txn_ops - 3
 
-    def sending(self, txn: Transaction, made: Plan, places: Iterable[int], now: datetime) -> list[int]:
+    def add_job_submissions(self, txn: Transaction, made: Plan, places: Iterable[int], now: datetime) -> list[int]:
         """Add these steps' jobs to a transaction as far as they fit; which were added.
 
         As `intake` submits a job: only if it neither lives nor has ended.
         """
         sent: list[int] = []
         size = 0
-        for place in list(places)[: self.room]:
+        for place in list(places)[: self.max_jobs_per_transaction]:
             spec = made.jobs[place].spec
             record = _job_record(spec, now)
             size += len(orjson.dumps(record))
-            if sent and size > SENDING_BYTES:
+            if sent and size > MAX_SUBMISSION_BYTES:
                 break
             key = JOB_PREFIX + spec.ref
             txn.guard(key, 0).guard(END_PREFIX + spec.ref, 0).put(key, record)
             sent.append(place)
         return sent
 
-    def cancelling(self, txn: Transaction, job: Job) -> None:
+    def add_job_cancellation(self, txn: Transaction, job: Job) -> None:
         """Cancel a step's job, as its user would."""
         key = JOB_PREFIX + job.spec.ref
         txn.guard(key, job.version).put(key, self._jobs.get(key).value | {"cancelled": True})
 
-    def writing(self, txn: Transaction, live: Live, course: Course, remember: timedelta) -> None:
+    def add_progress(
+        self, txn: Transaction, live: UnfinishedRun, progress: TicketProgress, remember: timedelta
+    ) -> None:
         """Add a run's new course, or its final record if nothing of it is left to do."""
         key = TICKET_PREFIX + live.run
         txn.guard(key, live.version)
-        if course.final is None:
-            txn.put(key, course.record())
+        if progress.final_state is None:
+            txn.put(key, progress.record())
             return
         now = self._clock.utc()
-        end = End(course.final, now, now + remember, course.states, course.failure)
+        end = FinalRecord(progress.final_state, now, now + remember, progress.states, progress.failure)
         txn.delete(key).put(ENDED_PREFIX + live.run, end.record())
-        if not isinstance(course.plan, str):
-            token, parts = course.plan
+        if not isinstance(progress.plan, str):
+            token, parts = progress.plan
             txn.put(STAGE_PREFIX + token, {"dead": True, "parts": parts})
 
-    def apply(self, txns: Iterable[Transaction], purpose: Purpose) -> bool:
+    def commit(self, txns: Iterable[Transaction], purpose: Purpose) -> bool:
         """Apply these, merged as far as the limits go; False at the first that was not applied.
 
         What the failed one was guarded by is read again.  If it is applied
@@ -177,10 +179,10 @@
                 for key in outcome.failed or txn.guards:
                     self._refresh(key)
                 return False
-            self.note(txn, outcome.revision)
+            self.on_committed(txn, outcome.revision)
         return True
 
-    def note(self, txn: Transaction, revision: int) -> None:
+    def on_committed(self, txn: Transaction, revision: int) -> None:
         """Take in a transaction of this gateway's that was applied."""
         for key, value in txn.puts.items():
             if key.startswith(ENDED_PREFIX):
--- a/kelpjunction/tickets/desk.py
+++ b/kelpjunction/tickets/requests.py
@@ -17,33 +17,33 @@
 from kelpjunction.store.mirror import Mirror, Verifier
 from kelpjunction.tickets import plan, users
 from kelpjunction.tickets.classes import TicketSettings, runs_again
-from kelpjunction.tickets.course import Course, End, StepState
-from kelpjunction.tickets.plan import Fault, Plan, Refused
+from kelpjunction.tickets.plan import Plan, TicketRejected, Violation
+from kelpjunction.tickets.progress import FinalRecord, StepState, TicketProgress
 from kelpjunction.tickets.records import (
     ENDED_PREFIX,
     FULL_KEY,
     HEAD_PREFIX,
     STAGE_PREFIX,
     TICKET_PREFIX,
-    Live,
     TicketRecords,
-    pack,
+    UnfinishedRun,
+    encode_plan,
+    job_ref_seed,
     part_key,
-    salted,
 )
-from kelpjunction.tickets.steps import Steps
-from kelpjunction.tickets.users import Malformed, run_id
+from kelpjunction.tickets.step_planner import StepPlanner
+from kelpjunction.tickets.users import MalformedMessage, run_id
 from kelpjunction.wire.messages import MachineType
 from kelpjunction.wire.users import error_answer
 
 log = logging.getLogger("tickets")
 
-FULL_RETRY = timedelta(seconds=30)
-INLINE_SHARE = 4  # a plan is kept in its run's course up to this part of the largest value
+LIMIT_REACHED_RETRY_AFTER = timedelta(seconds=30)
+INLINE_PLAN_DIVISOR = 4  # a plan is kept in its run's course up to this part of the largest value
 PART_MARGIN = 64  # bytes of a value
 
 
-class Desk:
+class TicketRequests:
     """What ticket users can ask of this gateway."""
 
     def __init__(
@@ -54,8 +54,8 @@
         tickets: Mirror,
         verifier: Verifier,
         records: TicketRecords,
-        steps: Steps,
-        book: JobIndex,
+        step_planner: StepPlanner,
+        job_index: JobIndex,
         catalog,
         clock: Clock,
         random_source: Random,
@@ -66,8 +66,8 @@
         self._tickets = tickets
         self._verifier = verifier
         self._records = records
-        self._steps = steps
-        self._book = book
+        self._step_planner = step_planner
+        self._job_index = job_index
         self._catalog = catalog  # what machine types there are; empty if unknown yet
         self._clock = clock
         self._random = random_source
@@ -78,10 +78,10 @@
         """Accept a ticket wholly or not at all, or say how an earlier run of it stands, as its class says."""
         try:
             return self._submit(users.parse_submission(body))
-        except Malformed as error:
-            return UserResponse(400, users.refusal([Fault("", "", str(error))]))
-        except Refused as refused:
-            return UserResponse(refused.status, users.refusal(refused.faults))
+        except MalformedMessage as error:
+            return UserResponse(400, users.rejection_body([Violation("", "", str(error))]))
+        except TicketRejected as refused:
+            return UserResponse(refused.status, users.rejection_body(refused.violations))
         except StoreUnavailable as error:
             return unavailable_response(f"the state service does not answer: {error}")
 
@@ -99,26 +99,29 @@
             if head is not None:
                 # A ticket that is known is never refused: it is looked up before it is checked,
                 # and its class is the one it came with first.
-                number, klass = head.value["run"], self._settings.klass(head.value["class"])
+                number, klass = head.value["run"], self._settings.ticket_class(head.value["class"])
                 found = self._find(run_id(asked.ticket, number))
                 if found is not None:
-                    end = found if isinstance(found, End) else None
+                    end = found if isinstance(found, FinalRecord) else None
                     if not runs_again(klass, number, end, self._clock.utc()):
                         answer = self._told(run_id(asked.ticket, number), found)
-                        return answer if head.value["content"] == digest else users.of_other_content(answer)
-            if asked.order.klass not in self._settings.classes:
+                        return answer if head.value["content"] == digest else users.with_content_mismatch(answer)
+            if asked.options.klass not in self._settings.classes:
                 known = ", ".join(self._settings.classes)
-                raise Refused([Fault("class", asked.order.klass, f"there are {known}")], 422)
+                raise TicketRejected([Violation("class", asked.options.klass, f"there are {known}")], 422)
             catalog = self._catalog()
             if not catalog:
                 return unavailable_response("the machine types are not known yet")
             if steps is None:
                 steps = self._read(asked)
-            if len(self._records.live) >= self._settings.most_live or self._tickets.get(FULL_KEY) is not None:
-                return UserResponse(503, error_answer("as many tickets are kept as may be"), FULL_RETRY)
+            if (
+                len(self._records.unfinished_runs) >= self._settings.max_unfinished_runs
+                or self._tickets.get(FULL_KEY) is not None
+            ):
+                return UserResponse(503, error_answer("as many tickets are kept as may be"), LIMIT_REACHED_RETRY_AFTER)
             run = run_id(asked.ticket, max(number, occupied) + 1)
             salt = f"{self._random.getrandbits(64):016x}"  # nobody else can have taken its jobs' ids
-            made = plan.plan(salted(run, salt), *steps, asked.order)
+            made = plan.build_plan(job_ref_seed(run, salt), *steps, asked.options)
             self._check(made, catalog)
             outcome = self._accept(asked.ticket, run, salt, made, head.version if head else 0, digest)
             if outcome.status is CommitStatus.APPLIED:
@@ -134,30 +137,32 @@
 
     def _read(self, asked: users.Submission) -> tuple[str, list[plan.Step]]:
         # Imported by the first ticket, so that a gateway answers before.
-        from kelpjunction.tickets import wire
+        from kelpjunction.tickets import job_template
 
         template = asked.template
-        document = wire.document_of(template.encode()) if isinstance(template, str) else template
-        return wire.resolve(document, asked.parameters)
+        document = job_template.parse_document(template.encode()) if isinstance(template, str) else template
+        return job_template.resolve(document, asked.parameters)
 
     def _check(self, made: Plan, catalog: Mapping[str, MachineType]) -> None:
-        """Refuse what can never run; raises `Refused`."""
+        """Refuse what can never run; raises `TicketRejected`."""
         never = [(job, infeasibility_reason(job.spec, catalog, self._teams)) for job in made.jobs]
-        faults = [Fault(f"steps.{job.name}", "", why) for job, why in never if why]
+        faults = [Violation(f"steps.{job.name}", "", why) for job, why in never if why]
         most = self._store.limits.value_bytes
         for job in made.jobs:
             if (size := self._records.job_size(job.spec)) > most:
                 # The state service would refuse it for ever, and its client ask for ever.
-                faults.append(Fault(f"steps.{job.name}", f"{size} bytes", f"a step's job takes at most {most} bytes"))
+                faults.append(
+                    Violation(f"steps.{job.name}", f"{size} bytes", f"a step's job takes at most {most} bytes")
+                )
         if faults:
-            raise Refused(faults, 422)
+            raise TicketRejected(faults, 422)
 
     def _accept(self, ticket: str, run: str, salt: str, made: Plan, head_version: int, digest: str) -> Outcome:
         """The one decision: head, course and the first steps' jobs, or nothing of it."""
-        text = pack(made)
+        text = encode_plan(made)
         txn = Transaction().guard(HEAD_PREFIX + ticket, head_version).guard(ENDED_PREFIX + run, 0)
         kept: str | list = text
-        if len(text) > self._store.limits.value_bytes // INLINE_SHARE:
+        if len(text) > self._store.limits.value_bytes // INLINE_PLAN_DIVISOR:
             staged = self._stage(text)
             if staged is None:
                 return Outcome(CommitStatus.REFUSED)
@@ -168,16 +173,16 @@
         now = self._clock.utc()
         states = (StepState.WAITING,) * len(made.jobs)
         spec = made.jobs[0].spec
-        course = Course(spec.klass, spec.team, now, states, kept, salt)
-        sent = self._records.sending(txn, made, course.ready(made), now)
-        course = course.moved(dict.fromkeys(sent, StepState.SENT))
+        course = TicketProgress(spec.klass, spec.team, now, states, kept, salt)
+        sent = self._records.add_job_submissions(txn, made, course.ready_steps(made), now)
+        course = course.with_step_states(dict.fromkeys(sent, StepState.SENT))
         txn.guard(TICKET_PREFIX + run, 0).put(TICKET_PREFIX + run, course.record())
         head = {"run": int(run.rpartition(".")[2]), "class": spec.klass, "content": digest}
         txn.put(HEAD_PREFIX + ticket, head)
         outcome = self._store.commit(txn.guards, txn.puts, timeout=timedelta(seconds=3), purpose=Purpose.SUBMIT)
         if outcome.status is CommitStatus.APPLIED:
             self._records.keep_plan(run, made)
-            self._records.note(txn, outcome.revision)
+            self._records.on_committed(txn, outcome.revision)
         return outcome
 
     def _stage(self, text: str) -> tuple[tuple[str, int], int] | None:
@@ -213,16 +218,16 @@
             run = run_id(ticket, number or 0)
             found = self._find(run) if number else None
             return UserResponse(404, error_answer("no such ticket")) if found is None else answer(run, found)
-        except Malformed as error:
+        except MalformedMessage as error:
             return UserResponse(404, error_answer(str(error)))
         except StoreUnavailable as error:
             return unavailable_response(f"the state service does not answer: {error}")
 
-    def _find(self, run: str) -> Live | End | None:
+    def _find(self, run: str) -> UnfinishedRun | FinalRecord | None:
         """A run, no older than what any gateway has told; None if there is none, or it is forgotten."""
         key = TICKET_PREFIX + run
         for _ in range(TRIES):
-            live = self._records.live.get(run)
+            live = self._records.unfinished_runs.get(run)
             if live is not None:
                 if self._verifier.versions_current({key: live.version}):
                     return live
@@ -230,19 +235,19 @@
                 continue
             end = self._store.get(ENDED_PREFIX + run)
             if end is not None:
-                return End.parse(end.value)
+                return FinalRecord.parse(end.value)
             if self._verifier.versions_current({key: 0, ENDED_PREFIX + run: 0}):
                 return None
             self._tickets.refresh(key)
         raise StoreUnavailable("the ticket's record kept changing")
 
-    def _told(self, run: str, found: Live | End) -> UserResponse:
-        if isinstance(found, End):
+    def _told(self, run: str, found: UnfinishedRun | FinalRecord) -> UserResponse:
+        if isinstance(found, FinalRecord):
             return UserResponse(200, users.final_answer(run, found))
         made = self._records.plan(found)
-        jobs = {ref: self._book.jobs[ref] for step in made.jobs if (ref := step.spec.ref) in self._book.jobs}
+        jobs = {ref: self._job_index.jobs[ref] for step in made.jobs if (ref := step.spec.ref) in self._job_index.jobs}
         counts = {ref: (job.done_count(), job.placed_count()) for ref, job in jobs.items()}
-        return UserResponse(200, users.live_answer(run, found.course, made, counts))
+        return UserResponse(200, users.live_answer(run, found.progress, made, counts))
 
     # -- cancel -------------------------------------------------------------------
 
@@ -250,17 +255,17 @@
         """Cancel a run: once 200 tells so, all its jobs are cancelled.  A run that ended stays as it is."""
         return self._of(text, self._cancel)
 
-    def _cancel(self, run: str, found: Live | End) -> UserResponse:
-        if isinstance(found, End):
+    def _cancel(self, run: str, found: UnfinishedRun | FinalRecord) -> UserResponse:
+        if isinstance(found, FinalRecord):
             return self._told(run, found)
-        for _ in range(TRIES + len(found.course.states)):
-            live = self._records.live.get(run)
+        for _ in range(TRIES + len(found.progress.states)):
+            live = self._records.unfinished_runs.get(run)
             if live is None:
                 break
-            txn = self._steps.next(live, live.course.halted(cancelled=True))
+            txn = self._step_planner.next_change(live, live.progress.with_submission_stopped(cancelled=True))
             if txn is not None:
-                self._records.apply([txn], Purpose.CANCEL_OR_FENCE)
+                self._records.commit([txn], Purpose.CANCEL_OR_FENCE)
         found = self._find(run)
-        if isinstance(found, End):
+        if isinstance(found, FinalRecord):
             return self._told(run, found)
         return UserResponse(503, error_answer("the cancellation is under way"), RETRY_AFTER)
--- a/kelpjunction/tickets/steps.py
+++ b/kelpjunction/tickets/step_planner.py
@@ -5,23 +5,23 @@
 from kelpjunction.store.client import StoreClient, Transaction
 from kelpjunction.store.mirror import Mirror
 from kelpjunction.tickets.classes import TicketClass, TicketSettings
-from kelpjunction.tickets.course import Course, Failure, StepState
 from kelpjunction.tickets.plan import StepJob
-from kelpjunction.tickets.records import Live, TicketRecords
+from kelpjunction.tickets.progress import Failure, StepState, TicketProgress
+from kelpjunction.tickets.records import TicketRecords, UnfinishedRun
 from kelpjunction.transport import Transport
 
-ENOUGH_MACHINES = 2  # a machine alone may be what is wrong
+MIN_FAILED_MACHINES = 2  # a machine alone may be what is wrong
 
 
-def exhausted(job: Job, klass: TicketClass) -> bool:
+def step_has_failed(job: Job, klass: TicketClass) -> bool:
     """Whether a step's job has failed so often that the step has failed.
 
     Jobs themselves are tried again for ever; a ticket owes its one answer.
     """
-    return job.failures >= klass.failures and len(job.failed_on) >= ENOUGH_MACHINES
+    return job.failures >= klass.failure_limit and len(job.failed_on) >= MIN_FAILED_MACHINES
 
 
-class Steps:
+class StepPlanner:
     """Decides what comes next for a run; writes nothing."""
 
     def __init__(
@@ -30,7 +30,7 @@
         store: StoreClient,
         jobs: Mirror,
         records: TicketRecords,
-        book: JobIndex,
+        job_index: JobIndex,
         clock: Clock,
         transport: Transport,
     ) -> None:
@@ -38,13 +38,13 @@
         self._store = store
         self._jobs = jobs
         self._records = records
-        self._book = book
+        self._job_index = job_index
         self._clock = clock
         self._transport = transport
-        self._ends: dict[str, str] = {}  # of jobs that ended, as far as `read_ends` was told
+        self._ends: dict[str, str] = {}  # of jobs that ended, as far as `read_job_outcomes` was told
         self._read_to: int | None = None
 
-    def read_ends(self, wanted: set[str]) -> None:
+    def read_job_outcomes(self, wanted: set[str]) -> None:
         """Learn in one request how jobs ended that did since the last time; raises `StoreUnavailable`.
 
         Those that are missed are asked for one by one.
@@ -65,25 +65,25 @@
         end = self._store.get(END_PREFIX + ref)
         return None if end is None else end.value["end"]
 
-    def next(self, live: Live, course: Course | None = None) -> Transaction | None:
+    def next_change(self, live: UnfinishedRun, progress: TicketProgress | None = None) -> Transaction | None:
         """The change to write, None if nothing is to be done; raises `StoreUnavailable`.
 
-        With `course`, the change begins with that: its user has asked for it.
+        With `progress`, the change begins with that: its user has asked for it.
         """
         made = self._records.plan(live)
-        klass = self._settings.klass(live.course.klass)
-        course = course or live.course
+        klass = self._settings.ticket_class(live.progress.klass)
+        progress = progress or live.progress
         txn = Transaction()
-        room = self._records.room
-        for place in course.sent:
+        room = self._records.max_jobs_per_transaction
+        for place in progress.sent_steps:
             step = made.jobs[place]
-            job = self._book.jobs.get(step.spec.ref)
+            job = self._job_index.jobs.get(step.spec.ref)
             if job is None and self._jobs.revision < live.version:
                 # This gateway's copy of the jobs may lag behind the ticket's.
-                if not course.cancelled:
+                if not progress.cancelled:
                     continue
                 self._jobs.refresh(JOB_PREFIX + step.spec.ref)
-                job = self._book.jobs.get(step.spec.ref)
+                job = self._job_index.jobs.get(step.spec.ref)
             if job is None:
                 end = self._end(step.spec.ref)
                 if end is None:
@@ -91,23 +91,27 @@
                 state = StepState.DONE if end == "done" else StepState.CANCELLED
             elif job.cancelled:
                 state = StepState.CANCELLED
-            elif room and (course.stopping or exhausted(job, klass)):
-                state = StepState.CANCELLED if course.stopping else StepState.FAILED
-                self._records.cancelling(txn, job)
+            elif room and (progress.stopping or step_has_failed(job, klass)):
+                state = StepState.CANCELLED if progress.stopping else StepState.FAILED
+                self._records.add_job_cancellation(txn, job)
                 room -= 1
             else:
                 continue
-            failed = state is not StepState.DONE and not course.stopping
-            course = course.moved({place: state}, _failure(step, job, state) if failed else None)
-        if course.failure and not course.stopping:
-            course = course.without_hope(made) if klass.finish else course.halted()
-        if not course.stopping and not txn.ops:
+            failed = state is not StepState.DONE and not progress.stopping
+            progress = progress.with_step_states({place: state}, _failure(step, job, state) if failed else None)
+        if progress.failure and not progress.stopping:
+            progress = (
+                progress.with_blocked_steps_cancelled(made)
+                if klass.continue_on_failure
+                else progress.with_submission_stopped()
+            )
+        if not progress.stopping and not txn.ops:
             now = self._clock.utc()
-            sent = self._records.sending(txn, made, course.ready(made), now)
-            course = course.moved(dict.fromkeys(sent, StepState.SENT))
-        if course == live.course:
+            sent = self._records.add_job_submissions(txn, made, progress.ready_steps(made), now)
+            progress = progress.with_step_states(dict.fromkeys(sent, StepState.SENT))
+        if progress == live.progress:
             return None
-        self._records.writing(txn, live, course, klass.remember)
+        self._records.add_progress(txn, live, progress, klass.retention)
         return txn
 
 
--- a/kelpjunction/tickets/users.py
+++ b/kelpjunction/tickets/users.py
@@ -9,14 +9,14 @@
 from kelpjunction.clock import seconds
 from kelpjunction.intake import UserResponse
 from kelpjunction.tickets import plan
-from kelpjunction.tickets.course import UNFINISHED, Course, End, Failure, StepState
-from kelpjunction.tickets.plan import Fault, Order, Plan, Refused
+from kelpjunction.tickets.plan import Plan, SubmissionOptions, TicketRejected, Violation
+from kelpjunction.tickets.progress import UNFINISHED, Failure, FinalRecord, StepState, TicketProgress
 from kelpjunction.wire.messages import Priority
-from kelpjunction.wire.users import Malformed, parse_object
+from kelpjunction.wire.users import MalformedMessage, parse_object
 
 TICKETS_PATH = "/api/tickets"
 CANCEL_END = "/cancel"
-MOST_FAULTS = 20  # that a refusal lists
+MAX_LISTED_VIOLATIONS = 20  # that a refusal lists
 
 _ID = r"[A-Za-z0-9][A-Za-z0-9_-]{0,79}"
 _RUN = re.compile(rf"({_ID})(?:\.([1-9][0-9]{{0,8}}))?\Z")
@@ -51,17 +51,17 @@
     ticket: str
     template: dict | str
     parameters: dict[str, str]
-    order: Order
+    options: SubmissionOptions
 
 
 def parse_submission(body: bytes) -> Submission:
-    """A submission; raises `Malformed` naming the first wrong field."""
+    """A submission; raises `MalformedMessage` naming the first wrong field."""
     fields = parse_object(body)
     try:
         _check(fields)
     except fastjsonschema.JsonSchemaValueException as error:
-        raise Malformed(error.message.removeprefix("data.")) from error
-    order = Order(
+        raise MalformedMessage(error.message.removeprefix("data.")) from error
+    order = SubmissionOptions(
         team=fields["team"], klass=fields["class"], priority=Priority[fields["priority"].upper()],
         image=fields["image"], image_gb=float(fields["image_gb"]), estimate=seconds(fields["estimate_s"]),
         cpus=float(fields["cpus"]), memory=float(fields["memory_gb"]), spot=fields["spot"],
@@ -71,10 +71,10 @@
 
 
 def parse_id(text: str) -> tuple[str, int | None]:
-    """A ticket's id and the number of its run, None for the latest; raises `Malformed`."""
+    """A ticket's id and the number of its run, None for the latest; raises `MalformedMessage`."""
     match = _RUN.match(text)
     if match is None:
-        raise Malformed("a ticket's id is letters, digits, - and _, with .N for its run N")
+        raise MalformedMessage("a ticket's id is letters, digits, - and _, with .N for its run N")
     return match[1], int(match[2]) if match[2] else None
 
 
@@ -83,38 +83,42 @@
     return f"{ticket}.{number}"
 
 
-def refusal(faults: list[Fault]) -> bytes:
+def rejection_body(faults: list[Violation]) -> bytes:
     """The body of a refusal that lists what is wrong."""
-    told = [{"path": f.path[:200], "rule": f.rule[:300], "value": f.value[:100]} for f in faults[:MOST_FAULTS]]
-    return orjson.dumps({"error": str(Refused(faults[:1]))[:500], "faults": told, "more": len(faults) - len(told)})
+    told = [
+        {"path": f.path[:200], "rule": f.rule[:300], "value": f.value[:100]} for f in faults[:MAX_LISTED_VIOLATIONS]
+    ]
+    return orjson.dumps(
+        {"error": str(TicketRejected(faults[:1]))[:500], "faults": told, "more": len(faults) - len(told)}
+    )
 
 
 def _failure(failure: Failure | None) -> dict:
     return {"failure": failure._asdict()} if failure else {}
 
 
-def live_answer(run: str, course: Course, made: Plan, counts: dict[str, tuple[int, int]]) -> bytes:
+def live_answer(run: str, progress: TicketProgress, made: Plan, counts: dict[str, tuple[int, int]]) -> bytes:
     """How an unfinished ticket stands; `counts` has the tasks done and running of each job that is known."""
-    state = "stopping" if course.stopping else "running" if any(n for _, n in counts.values()) else "pending"
-    if state == "pending" and StepState.DONE in course.states:
+    state = "stopping" if progress.stopping else "running" if any(n for _, n in counts.values()) else "pending"
+    if state == "pending" and StepState.DONE in progress.states:
         state = "running"
     steps = []
-    for step, now in zip(made.jobs, course.states, strict=True):
+    for step, now in zip(made.jobs, progress.states, strict=True):
         done, running = counts.get(step.spec.ref, (step.spec.tasks if now is StepState.DONE else 0, 0))
         fields: dict[str, Any] = {"step": step.name, "state": now.name.lower()}
         if now is not StepState.WAITING:
             fields |= {"job": step.spec.ref, "done": done, "running": running}
         steps.append(fields | {"tasks": step.spec.tasks})
-    return orjson.dumps({"ticket": run, "state": state, "steps": steps} | _failure(course.failure))
+    return orjson.dumps({"ticket": run, "state": state, "steps": steps} | _failure(progress.failure))
 
 
-def final_answer(run: str, end: End) -> bytes:
+def final_answer(run: str, end: FinalRecord) -> bytes:
     """A ticket's one final answer."""
     counts = {s.name.lower(): n for s in StepState if s not in UNFINISHED and (n := end.states.count(s))}
-    return orjson.dumps({"ticket": run, "state": end.final.value, "steps": counts} | _failure(end.failure))
+    return orjson.dumps({"ticket": run, "state": end.final_state.value, "steps": counts} | _failure(end.failure))
 
 
-def of_other_content(answer: UserResponse) -> UserResponse:
+def with_content_mismatch(answer: UserResponse) -> UserResponse:
     """The same answer, which says that the ticket of this id came with another template or parameters."""
     return answer._replace(body=orjson.dumps(orjson.loads(answer.body) | {"same_content": False}))
 
--- a/kelpjunction/wire/cloud.py
+++ b/kelpjunction/wire/cloud.py
@@ -6,7 +6,7 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.wire.messages import ListedMachine, MachineType
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 CATALOG_PATH = "/catalog"
 RENT_PATH = "/rentals"
@@ -37,7 +37,7 @@
             for t in fields["hulls"]
         }
     except (KeyError, TypeError, ValueError) as error:
-        raise Malformed(f"catalog: {error!r}") from error
+        raise MalformedMessage(f"catalog: {error!r}") from error
 
 
 def rent_body(request: str, type_: str, zone: str, spot: bool, count: int) -> bytes:
@@ -49,7 +49,7 @@
     """The names of the machines rented."""
     names = fields.get("holdfasts")
     if not isinstance(names, list) or not all(isinstance(n, str) for n in names):
-        raise Malformed("rental answer without holdfasts")
+        raise MalformedMessage("rental answer without holdfasts")
     return tuple(names)
 
 
@@ -80,5 +80,5 @@
             for m in fields["holdfasts"]
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise Malformed(f"machine list: {error!r}") from error
+        raise MalformedMessage(f"machine list: {error!r}") from error
     return machines, bool(fields.get("has_next"))
--- a/kelpjunction/wire/messages.py
+++ b/kelpjunction/wire/messages.py
@@ -33,18 +33,18 @@
     EXITED = "exited"
 
 
-class Cause(Enum):
+class ExitCause(Enum):
     """Why a task exited."""
 
     DONE = "done"
     STOPPED = "stopped"
-    MATES_GONE = "mates gone"
-    INCOMPLETE = "gang incomplete"
+    PEERS_GONE = "mates gone"
+    GANG_INCOMPLETE = "gang incomplete"
     ERROR = "error"
-    NO_ROOM = "no room"
+    INSUFFICIENT_RESOURCES = "no room"
     IN_USE = "in use"
     UNKNOWN = "unknown"
-    LOST = "machine lost"  # never on the wire: our own verdict
+    MACHINE_LOST = "machine lost"  # never on the wire: our own verdict
 
 
 class JobPhase(Enum):
@@ -103,7 +103,7 @@
     task: TaskId
     attempt: int
     state: TaskState
-    cause: Cause | None
+    cause: ExitCause | None
     saved: bool
 
 
@@ -119,7 +119,7 @@
     session: int
     sequence: int
     token: int
-    notice: timedelta | None
+    termination_notice: timedelta | None
     tasks: tuple[TaskReport, ...]
 
 
--- a/kelpjunction/wire/state.py
+++ b/kelpjunction/wire/state.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.users import MalformedMessage
 
 COMMIT_PATH = "/commit"
-HOLDS_PATH = "/holds"
+STORE_LEASES_PATH = "/holds"
 MAX_TXN_BYTES = 60 * 1024
 GUARDS_PER_OP = 4
 
@@ -35,23 +35,23 @@
     return f"/follow?prefix={quote(prefix, safe='')}&since={since}&hold_ms={wait_ms}"
 
 
-def hold_body(ttl_ms: int) -> bytes:
+def lease_body(ttl_ms: int) -> bytes:
     return orjson.dumps({"ttl_ms": ttl_ms})
 
 
-def hold_path(hold: int, end: str = "") -> str:
-    return f"{HOLDS_PATH}/{hold}{end}"
+def lease_path(lease: int, end: str = "") -> str:
+    return f"{STORE_LEASES_PATH}/{lease}{end}"
 
 
 def commit_body(
-    guards: Mapping[str, int], puts: Mapping[str, Any], deletes: Iterable[str], holds: Mapping[str, int]
+    guards: Mapping[str, int], puts: Mapping[str, Any], deletes: Iterable[str], leases: Mapping[str, int]
 ) -> bytes:
-    """A transaction; `holds` names the hold that a put is attached to."""
+    """A transaction; `leases` names the hold that a put is attached to."""
     then: list[dict] = []
     for key, value in puts.items():
         change = {"set": key, "data": value}
-        if key in holds:
-            change["mooring"] = holds[key]
+        if key in leases:
+            change["mooring"] = leases[key]
         then.append(change)
     then.extend({"delete": key} for key in deletes)
     body: dict[str, Any] = {"guards": [{"key": k, "stamp": v} for k, v in guards.items()]}
@@ -63,18 +63,18 @@
 def parse_revision(fields: dict) -> int:
     revision = fields.get("ledger")
     if not isinstance(revision, int):
-        raise Malformed("state service answer without ledger")
+        raise MalformedMessage("state service answer without ledger")
     return revision
 
 
-def parse_hold(fields: dict) -> int:
+def parse_lease(fields: dict) -> int:
     hold = fields.get("mooring")
     if not isinstance(hold, int):
-        raise Malformed("hold answer without mooring")
+        raise MalformedMessage("hold answer without mooring")
     return hold
 
 
-def parse_failed(fields: dict) -> tuple[str, ...]:
+def parse_conflicting_keys(fields: dict) -> tuple[str, ...]:
     failed = fields.get("failed")
     return tuple(failed) if isinstance(failed, list) else ()
 
@@ -83,14 +83,14 @@
     try:
         return Change(fields["key"], fields["data"], int(fields["stamp"]))
     except (KeyError, TypeError, ValueError) as error:
-        raise Malformed(f"state service entry: {error!r}") from error
+        raise MalformedMessage(f"state service entry: {error!r}") from error
 
 
 def parse_page(fields: dict) -> tuple[list[Change], bool, int]:
     """One page of a listing: its entries, whether more follow, the revision it was read at."""
     pairs = fields.get("pairs")
     if not isinstance(pairs, list):
-        raise Malformed("state service listing without pairs")
+        raise MalformedMessage("state service listing without pairs")
     return [parse_entry(p) for p in pairs], bool(fields.get("has_next")), parse_revision(fields)
 
 
@@ -102,5 +102,5 @@
             for n in fields.get("news") or ()
         ]
     except (KeyError, TypeError, ValueError) as error:
-        raise Malformed(f"follow answer: {error!r}") from error
+        raise MalformedMessage(f"follow answer: {error!r}") from error
     return news, parse_revision(fields)
--- a/kelpjunction/wire/users.py
+++ b/kelpjunction/wire/users.py
@@ -61,7 +61,7 @@
 )
 
 
-class Malformed(Exception):
+class MalformedMessage(Exception):
     """A message that breaks the protocol; the text names the field."""
 
 
@@ -75,20 +75,20 @@
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise Malformed(f"body is not JSON: {error}") from error
+        raise MalformedMessage(f"body is not JSON: {error}") from error
     if not isinstance(fields, dict):
-        raise Malformed("body must be an object")
+        raise MalformedMessage("body must be an object")
     return fields
 
 
 def parse_job(fields: dict) -> JobSpec:
-    """A submission's fields as a job; raises `Malformed` naming the first wrong field."""
+    """A submission's fields as a job; raises `MalformedMessage` naming the first wrong field."""
     if not valid_ref(fields.get("ref")):
-        raise Malformed("ref must look like j-000412")
+        raise MalformedMessage("ref must look like j-000412")
     try:
         _check_job(fields)
     except fastjsonschema.JsonSchemaValueException as error:
-        raise Malformed(error.message.removeprefix("data.")) from error
+        raise MalformedMessage(error.message.removeprefix("data.")) from error
     return job_from_fields(fields)
 
 
@@ -120,7 +120,7 @@
     )
 
 
-def submission(spec: JobSpec) -> dict:
+def fields_from_job(spec: JobSpec) -> dict:
     """A job as its user submits it: what `parse_job` makes this job of again."""
     return {
         "ref": spec.ref, "stripe": spec.klass, "crew": spec.team,
--- a/kelpjunction/wire/workers.py
+++ b/kelpjunction/wire/workers.py
@@ -6,8 +6,8 @@
 import orjson
 
 from kelpjunction.clock import seconds
-from kelpjunction.wire.messages import Cause, Command, Report, TaskId, TaskReport, TaskState, Verb
-from kelpjunction.wire.users import Malformed, parse_object, valid_ref
+from kelpjunction.wire.messages import Command, ExitCause, Report, TaskId, TaskReport, TaskState, Verb
+from kelpjunction.wire.users import MalformedMessage, parse_object, valid_ref
 
 CHECK_IN_PATH = "/checkin"
 COMMANDS_PATH = "/commands"
@@ -21,14 +21,14 @@
     "exited": TaskState.EXITED,
 }
 _CAUSES = {
-    "done": Cause.DONE,
-    "stopped": Cause.STOPPED,
-    "mates_gone": Cause.MATES_GONE,
-    "incomplete": Cause.INCOMPLETE,
-    "error": Cause.ERROR,
-    "full": Cause.NO_ROOM,
-    "in_use": Cause.IN_USE,
-    "unknown": Cause.UNKNOWN,
+    "done": ExitCause.DONE,
+    "stopped": ExitCause.STOPPED,
+    "mates_gone": ExitCause.PEERS_GONE,
+    "incomplete": ExitCause.GANG_INCOMPLETE,
+    "error": ExitCause.ERROR,
+    "full": ExitCause.INSUFFICIENT_RESOURCES,
+    "in_use": ExitCause.IN_USE,
+    "unknown": ExitCause.UNKNOWN,
 }
 _VERBS = {Verb.START: "run", Verb.STOP: "halt", Verb.FORGET: "forget"}
 
@@ -67,7 +67,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """A worker's report; raises `Malformed` and leaves it to the caller to touch nothing."""
+    """A worker's report; raises `MalformedMessage` and leaves it to the caller to touch nothing."""
     return report_from_fields(parse_object(body))
 
 
@@ -76,7 +76,7 @@
     try:
         _check_report(fields)
     except fastjsonschema.JsonSchemaValueException as error:
-        raise Malformed(error.message.removeprefix("data.")) from error
+        raise MalformedMessage(error.message.removeprefix("data.")) from error
     notice = fields.get("warning_s")
     return Report(
         machine=fields["holdfast"],
@@ -87,7 +87,7 @@
         session=int(fields["watch"]),
         sequence=int(fields["tally"]),
         token=int(fields.get("helm") or 0),
-        notice=None if notice is None else seconds(notice),
+        termination_notice=None if notice is None else seconds(notice),
         tasks=tuple(_task(t) for t in fields.get("fronds") or ()),
     )
 
@@ -97,7 +97,7 @@
     cause = None
     if state is TaskState.EXITED:
         # A cause nobody told us of is treated like a failure of the task.
-        cause = _CAUSES.get(fields.get("cause"), Cause.ERROR)
+        cause = _CAUSES.get(fields.get("cause"), ExitCause.ERROR)
     return TaskReport(parse_task(fields["frond"]), int(fields["launch"]), state, cause, bool(fields.get("kept")))
 
 
@@ -105,7 +105,7 @@
     """`j-000412/3` as a task."""
     ref, _, index = text.partition("/")
     if not valid_ref(ref) or not index.isdigit():
-        raise Malformed(f"frond {text!r} is not a task")
+        raise MalformedMessage(f"frond {text!r} is not a task")
     return TaskId(ref, int(index))
 
 
--- a/kelpjunction/workers/decisions.py
+++ b/kelpjunction/workers/decisions.py
@@ -4,7 +4,7 @@
 
 from kelpjunction.jobs.job_index import JobIndex, Placement
 from kelpjunction.recorder import Recorder
-from kelpjunction.wire.messages import Cause, Report, TaskId, TaskReport
+from kelpjunction.wire.messages import ExitCause, Report, TaskId, TaskReport
 from kelpjunction.workers.answers import Refusal
 from kelpjunction.workers.events import (
     Ground,
@@ -30,7 +30,7 @@
     def __init__(self, recorder: Recorder, job_index: JobIndex) -> None:
         self._recorder = recorder
         self._job_index = job_index
-        self.causes: Counter[Cause] = Counter()  # of settled placements
+        self.causes: Counter[ExitCause] = Counter()  # of settled placements
         self.grounds: Counter[Ground] = Counter()
         self.ways: Counter[Way] = Counter()  # in which starts were said
         self.refusals: Counter[Refusal] = Counter()  # of reports that got no 200
@@ -72,7 +72,7 @@
         self._settled_attempts[placement.task, placement.attempt, placement.machine] = placement.zone
         if len(self._settled_attempts) > MAX_SETTLED_ATTEMPTS:
             self._settled_attempts.popitem(last=False)
-        event = Settled if placement.cause in (Cause.DONE, Cause.STOPPED) else SettledAbnormally
+        event = Settled if placement.cause in (ExitCause.DONE, ExitCause.STOPPED) else SettledAbnormally
         attempt = placement.task, placement.attempt, placement.machine, placement.session
         self._recorder.record(event(*attempt, placement.cause, ground, *newest))
 
--- a/kelpjunction/workers/events.py
+++ b/kelpjunction/workers/events.py
@@ -6,7 +6,7 @@
 from typing import ClassVar
 
 from kelpjunction.recorder import Event
-from kelpjunction.wire.messages import Cause, TaskId
+from kelpjunction.wire.messages import ExitCause, TaskId
 from kelpjunction.workers.answers import Refusal
 from kelpjunction.workers.reachability import Evidence
 
@@ -99,7 +99,7 @@
     attempt: int
     machine: str
     session: int
-    cause: Cause
+    cause: ExitCause
     ground: Ground
     known_session: int
     sequence: int
--- a/kelpjunction/workers/registry.py
+++ b/kelpjunction/workers/registry.py
@@ -16,8 +16,8 @@
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire import workers as wire
-from kelpjunction.wire.messages import Cause, Command, Report, TaskId, TaskReport, TaskState, Verb
-from kelpjunction.wire.users import Malformed
+from kelpjunction.wire.messages import Command, ExitCause, Report, TaskId, TaskReport, TaskState, Verb
+from kelpjunction.wire.users import MalformedMessage
 from kelpjunction.workers.answers import (
     BlockAuthority,
     WorkerStatus,
@@ -200,7 +200,7 @@
             worker.lease_renewed_at = now
         worker.token = max(worker.token, report.token)
         worker.last_report_at, worker.address = now, report.address
-        worker.reclaim_at = None if report.notice is None else now + report.notice
+        worker.reclaim_at = None if report.termination_notice is None else now + report.termination_notice
         worker.tasks = {}
         for told in report.tasks:
             worker.tasks.setdefault(told.task, []).append(told)
@@ -210,7 +210,7 @@
             self._on_listed(worker, placement, told, now)
         for placement in reading.ended:
             # The worker killed everything of that session when it ended.
-            self.settle(placement, Cause.LOST, Ground.SESSION_ENDED, now)
+            self.settle(placement, ExitCause.MACHINE_LOST, Ground.SESSION_ENDED, now)
         for placement in reading.from_later_session:
             self._on_process_restart(worker, placement, now)
         for placement in reading.missing:
@@ -229,7 +229,7 @@
         again, and must not find a start for it then that is still under way.
         """
         if self._no_command_in_flight(worker):
-            self.settle(placement, Cause.LOST, Ground.PROCESS_RESTARTED, now)
+            self.settle(placement, ExitCause.MACHINE_LOST, Ground.PROCESS_RESTARTED, now)
 
     def _no_command_in_flight(self, worker: Worker) -> bool:
         """Whether no command of before can reach the worker any more; if it can for ever, a higher token ends that."""
@@ -279,10 +279,12 @@
             and not worker.unanswered_commands[placement.task, placement.attempt]
             and self._no_command_in_flight(worker)
         ):
-            cause = Cause.LOST if placement.is_active else Cause.STOPPED
+            cause = ExitCause.MACHINE_LOST if placement.is_active else ExitCause.STOPPED
             self.settle(placement, cause, Ground.ABSENT, now)
 
-    def settle(self, placement: Placement, cause: Cause, ground: Ground, now: timedelta, saved: bool = False) -> None:
+    def settle(
+        self, placement: Placement, cause: ExitCause, ground: Ground, now: timedelta, saved: bool = False
+    ) -> None:
         """The placement is surely off its machine: the next round writes that down."""
         if placement.phase is Phase.SETTLED:
             return
@@ -387,7 +389,7 @@
             return False
         try:
             report = wire.report_from_fields(reply.fields)
-        except Malformed as error:
+        except MalformedMessage as error:
             log.error("odd report from a worker: %s", error)
             return False
         if self.is_gone(report.machine):
@@ -462,14 +464,14 @@
             end = self.lease_end(machine, next(iter(load.placements.values())).zone)
             if end is not None and now > end:
                 for placement in load.placements.values():
-                    self.settle(placement, Cause.LOST, Ground.LEASE_ENDED, now)
+                    self.settle(placement, ExitCause.MACHINE_LOST, Ground.LEASE_ENDED, now)
 
     def settle_machine(self, machine: str) -> None:
         """The cloud confirmed that the machine is gone, and everything on it."""
         now = self._clock.steady()
         for placement in list(self._job_index.placements_on(machine).values()):
             if self._blocks.own_grant(placement.zone) is not None:
-                self.settle(placement, Cause.LOST, Ground.MACHINE_GONE, now)
+                self.settle(placement, ExitCause.MACHINE_LOST, Ground.MACHINE_GONE, now)
         self._drop(machine)
 
     def _drop(self, machine: str) -> None:
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from kelpjunction.lab.worker import OneWay
+from kelpjunction.lab.worker import MessageLoss
 from kelpjunction.lab.world import STORE, World, seconds
 
 ODD = ({"crew": "nobody"}, {"cpus": 9.0}, {"fronds": 0}, {"shape": None}, {"ram_gb": True}, {"shape": "ensemble"})
@@ -20,7 +20,7 @@
         self.watched: set[str] = set()  # tasks of which each that ends may be called off at that moment
         self.world.filter = self._fate
         self.pause: tuple[str, float] | None = None  # a node that stands still at a request it sends soon
-        self.world.stand_still = self._pause
+        self.world.pause_before_request = self._pause
 
     def _fate(self, source: str, target: str, path: str) -> str | None:
         if path == "/commit" and self.random.random() < self.late_writes:
@@ -108,7 +108,7 @@
 
     def _for_next(self) -> None:
         """Copies of all reports from now on come in everywhere once another leads."""
-        self.world.kept_reports = None if self.world.kept_reports is not None else []
+        self.world.reports_for_next_leader = None if self.world.reports_for_next_leader is not None else []
 
     def _cancel_now(self) -> None:
         """Jobs that run are called off at once, and some of their machines hang."""
@@ -166,7 +166,7 @@
 
     def _abort_job(self, ref: str) -> None:
         if not self._deaf_to_users() and self.world.abort(ref) == 200 and self.looking:
-            self.world.look(ref)
+            self.world.ask_all_nodes(ref)
 
     def _submit(self) -> None:
         if not any(self.world.nodes.values()):
@@ -189,7 +189,7 @@
         if status in (200, 201, 503):
             self.refs.append(ref)
         if status == 201 and self.looking:
-            self.world.look(ref)
+            self.world.ask_all_nodes(ref)
 
     def _abort(self) -> None:
         if self.refs:
@@ -211,25 +211,25 @@
 
     def _heal(self) -> None:
         self.world.cut_from_store = self.world.cut_from_peers = set()
-        self.world.copies = lambda worker: []
+        self.world.duplicate_reports = lambda worker: []
         self.world.store.outage(False)
         self.loss = self.late_writes = self.unheard = 0.0
         self.slow = False
-        self.world.kept_reports = None
+        self.world.reports_for_next_leader = None
         self.watched = set()
         for worker, _ in self.world.cloud.machines.values():
-            worker.cut, worker.one_way = False, None
+            worker.partitioned, worker.message_loss = False, None
 
     def _one_way(self) -> None:
         for _ in range(self.random.choice([1, 1, 3])):
             if worker := self._worker():
-                worker.one_way = self.random.choice(list(OneWay))
+                worker.message_loss = self.random.choice(list(MessageLoss))
 
     def _copies(self) -> None:
         """From now on some reports come again, seconds to three leases later, to whatever node."""
         lease = self.world.times.lease.total_seconds()
         names, random = list(self.world.nodes), self.random
-        self.world.copies = lambda worker: (
+        self.world.duplicate_reports = lambda worker: (
             [(random.uniform(2, 3 * lease), random.choice(names))] if random.random() < 0.3 else []
         )
 
@@ -259,7 +259,7 @@
 
     def _worker_cut(self) -> None:
         if worker := self._worker():
-            worker.cut = True
+            worker.partitioned = True
 
     def _worker_dies(self) -> None:
         if worker := self._worker():
@@ -268,7 +268,7 @@
 
     def _spot(self) -> None:
         if worker := self._worker():
-            worker.notice = self.world.clock.now + seconds(10)
+            worker.notice_at = self.world.clock.now + seconds(10)
 
     def _noise(self) -> None:
         self.loss = 0.15
@@ -276,10 +276,10 @@
     def _recover(self) -> None:
         self._heal()
         self._start_nodes()
-        self.world.attendance.troubles_over(self.world.clock.now)
-        self.world.idle.judging = True
+        self.world.service_level_tracker.on_faults_ended(self.world.clock.now)
+        self.world.starvation_check.enabled = True
         for _ in range(24):
             self.world.run(5)
             for ref in self.refs:
-                if self.world.told.get(ref) == "accepted":
+                if self.world.last_told_state.get(ref) == "accepted":
                     self.world.poll(ref)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,13 +30,13 @@
 
     @classmethod
     def of(cls, seed: int, world: World) -> "Outcome":
-        told = {ref for ref, state in world.told.items() if state == "accepted"}
+        told = {ref for ref, state in world.last_told_state.items() if state == "accepted"}
         return cls(
             seed,
             world.broken,
             sorted(ref for ref in told if world.jobs[ref]["shape"] != "service"),
-            sorted(world.idle.left),
-            sorted(world.attendance.forgotten),
+            sorted(world.starvation_check.starved_jobs),
+            sorted(world.service_level_tracker.unanswered_jobs),
             [str(event) for event in world.contradictions],
         )
 
@@ -73,8 +73,8 @@
             world.start_node(name)
             world.run(random.uniform(0, 2))
         world.run(random.uniform(1, 15))
-    world.attendance.troubles_over(world.clock.now)
-    world.idle.judging = True
+    world.service_level_tracker.on_faults_ended(world.clock.now)
+    world.starvation_check.enabled = True
     _recover(world)
     for ref, job in sorted(world.jobs.items()):
         if job["shape"] == "service":
--- a/tests/test_absence.py
+++ b/tests/test_absence.py
@@ -49,7 +49,7 @@
             del node.holder_scheduler.round  # holders start things again
         return 30.0
 
-    world.stand_still = pause
+    world.pause_before_request = pause
     launch()
     assert asleep == [path]
     world.run(40)
@@ -61,7 +61,7 @@
     world = served()
     holder, launch = handed(world, "j-1")
     other = next(n for n in world.nodes.values() if n is not holder)
-    world.stand_still = lambda source, target, path: 20.0 if path == "/commands" and not world.frozen else 0.0
+    world.pause_before_request = lambda source, target, path: 20.0 if path == "/commands" and not world.frozen else 0.0
     told = []
     freeze = world.freeze
 
@@ -71,7 +71,7 @@
 
     world.freeze = freeze_and_abort
     launch()
-    world.stand_still = lambda *_: 0.0
+    world.pause_before_request = lambda *_: 0.0
     assert told == [200]
     world.run(60)
     assert world.running("j-1") == []
--- a/tests/test_attendance.py
+++ b/tests/test_attendance.py
@@ -13,12 +13,14 @@
     for node in world.nodes.values():
         status = node.intake.status
         node.intake.status = lambda ref, status=status: status("nonsense") if ref == "j-1" else status(ref)
-    world.attendance.troubles_over(world.clock.now)
+    world.service_level_tracker.on_faults_ended(world.clock.now)
     for _ in range(17):
         world.run(5)
         for ref in ("j-1", "j-2"):
-            world.attendance.asked(ref, world.ask("GET", f"{JOBS_PATH}/{ref}", b"", None)[0] == 200, world.clock.now)
-    assert list(world.attendance.forgotten) == ["j-1"]
+            world.service_level_tracker.asked(
+                ref, world.ask("GET", f"{JOBS_PATH}/{ref}", b"", None)[0] == 200, world.clock.now
+            )
+    assert list(world.service_level_tracker.unanswered_jobs) == ["j-1"]
 
 
 def test_check_notices_classes_teams_and_largest_jobs_that_are_not_served():
@@ -27,8 +29,8 @@
     world.submit("j-2", run_s=5.0, stripe="large", crew="red")
     world.submit("j-3", 8, cpus=4.0, shape="ensemble", stripe="large", crew="red", mark_s=5.0, stow_s=1.0)
     world.run(30)
-    rows = {row.name: row for row in world.attendance.served(world.clock.now)}
-    assert rows["small"].enough and rows["team blue"].enough and rows["large"].enough, "half of two is enough"
-    assert rows["largest of large"].begun == 0 and not rows["largest of large"].enough
-    later = {row.name: row for row in world.attendance.served(world.clock.now + seconds(240))}
+    rows = {row.name: row for row in world.service_level_tracker.service_levels(world.clock.now)}
+    assert rows["small"].is_met and rows["team blue"].is_met and rows["large"].is_met, "half of two is enough"
+    assert rows["largest of large"].begun == 0 and not rows["largest of large"].is_met
+    later = {row.name: row for row in world.service_level_tracker.service_levels(world.clock.now + seconds(240))}
     assert later["largest of large"].late == ("j-3",)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -97,11 +97,11 @@
     for name, node in world.nodes.items():
         if node is None:
             world.start_node(name)
-    services = [ref for ref in refs[::3] if world.told.get(ref)]
+    services = [ref for ref in refs[::3] if world.last_told_state.get(ref)]
     assert world.run(20, lambda: all(world.abort(ref) == 200 for ref in services)), "as users repeat it"
     world.run(60)
     assert world.broken == []
-    accepted = [ref for ref in refs if world.told.get(ref)]
+    accepted = [ref for ref in refs if world.last_told_state.get(ref)]
     assert len(accepted) >= 12
     assert [ref for ref in accepted if world.poll(ref) not in ("done", "withdrawn")] == []
     assert world.running() == []
@@ -138,10 +138,10 @@
     world.submit("j-2", 6, run_s=20.0)
     assert world.run(10, lambda: len(world.running()) == 10)
     world.abort("j-2")
-    world.store.refusing = True
+    world.store.reject_all = True
     world.run(60)
     assert world.running("j-2") == [], "whatever is refused, a cancelled task's lease ends in time"
-    world.store.refusing = False
+    world.store.reject_all = False
     assert world.run(30, lambda: len(world.running("j-1")) == 4)
     world.run(30)
     assert world.poll("j-2") == "withdrawn"
@@ -161,13 +161,13 @@
 
 def test_a_change_of_many_machines_costs_a_page_and_not_a_key_each():
     world = served(machines=48, capacity=48)
-    before = world.store.applied
+    before = world.store.applied_changes
     for worker, _ in world.cloud.machines.values():
-        worker.notice = world.clock.now + seconds(100)
+        worker.notice_at = world.clock.now + seconds(100)
     world.run(8)
     machines = {name: m for n in world.nodes.values() for name, m in n.inventory.machines.items()}
     assert {m.state.value for m in machines.values()} == {"leaving"}
-    assert world.store.applied - before < 24, "a key each would be 48"
+    assert world.store.applied_changes - before < 24, "a key each would be 48"
 
 
 def test_a_page_that_lags_does_not_bring_a_returned_machine_back():
@@ -194,7 +194,7 @@
 
 def test_a_new_leader_repeats_what_was_asked_of_the_cloud_and_rents_nothing_twice():
     world = served(machines=2, capacity=6)
-    world.cloud.out = True
+    world.cloud.is_down = True
     world.submit("j-1", 30, crew="blue", run_s=60.0)
     assert world.run(10, lambda: bool(world.leader().inventory.rental_record.pending_rentals))
     asked = dict(world.leader().inventory.rental_record.pending_rentals)
@@ -206,7 +206,7 @@
         return handle(method, path, body)
 
     world.cloud.handle = noting
-    world.cloud.out = False
+    world.cloud.is_down = False
     world.kill_node(world.leader_name())
     assert world.run(10, lambda: world.leader() is not None)
     world.run(10)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -7,7 +7,7 @@
 from kelpjunction.clock import seconds
 from kelpjunction.fleet.machines import MachineState
 from kelpjunction.jobs.job_index import Phase
-from kelpjunction.lab.worker import OneWay
+from kelpjunction.lab.worker import MessageLoss
 from kelpjunction.wire.messages import TaskId
 from kelpjunction.workers.reachability import Evidence, Reachability, ReachabilityTracker
 
@@ -28,13 +28,13 @@
 # A machine that hears nothing
 
 
-@pytest.mark.parametrize("one_way", OneWay)
+@pytest.mark.parametrize("one_way", MessageLoss)
 def test_machine_that_hears_nothing_gets_no_work_and_loses_its_own_to_others(one_way):
     world = served(machines=6, capacity=6)
     world.submit("j-1", 3, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     lost = worker_of(world, "j-1/0")
-    lost.one_way = one_way
+    lost.message_loss = one_way
     world.run(8)
     assert world.submit("j-2", 12, run_s=5.0) == 201
     world.run(40)
@@ -53,10 +53,10 @@
     world.run(4)
     hit = [w for w in workers(world) if what != "a zone" or w.zone == "a"]
     for worker in hit[: -1 if what == "all but one" else None]:
-        worker.one_way = OneWay.DEAF
+        worker.message_loss = MessageLoss.INBOUND_LOST
     world.run(90)
     for worker in workers(world):
-        worker.one_way = None
+        worker.message_loss = None
     assert world.run(150, lambda: world.poll("j-1") == world.poll("j-2") == "done")
     assert world.broken == []
 
@@ -66,12 +66,12 @@
     worker = next(w for w in workers(world) if w.zone == "a")
     holder = holder_of(world, worker)
     holder.machine_monitor._looks_partitioned = lambda zone: True  # so that it is not returned meanwhile
-    worker.one_way = OneWay.DEAF
+    worker.message_loss = MessageLoss.INBOUND_LOST
     assert world.run(20, lambda: not holder.inventory.machines[worker.name].usable)
     world.run(10)
     contact = holder.worker_registry.workers[worker.name].reachability_tracker
     assert contact.reachability is Reachability.UNREACHABLE
-    worker.one_way = None
+    worker.message_loss = None
     assert world.run(20, lambda: contact.proofs == 1)
     assert not holder.inventory.machines[worker.name].usable, "once may be chance"
     assert world.run(10, lambda: holder.inventory.machines[worker.name].usable)
@@ -131,7 +131,7 @@
     world.run(6)
     holder = holder_of(world, worker)
     known = holder.worker_registry.workers[worker.name]
-    worker.cut = True
+    worker.partitioned = True
     world.run(3)
     answered, proved = known.lease_renewed_at, known.reachability_tracker.proved_at
     assert holder.check_in(copy)[0] == 503
@@ -193,7 +193,7 @@
     caplog.set_level("INFO")
     world = served(machines=6, capacity=6)
     worker = workers(world)[0]
-    worker.one_way = OneWay.DEAF
+    worker.message_loss = MessageLoss.INBOUND_LOST
     holder = holder_of(world, worker)
     assert world.run(20, lambda: holder.inventory.machines[worker.name].state is MachineState.RETURNING)
     assert holder.worker_registry.unreachable() == 1
@@ -210,7 +210,7 @@
     worker = worker_of(world, "j-1/0")
     holder = holder_of(world, worker)
     holder.machine_monitor._looks_partitioned = lambda zone: True
-    worker.one_way = OneWay.DEAF
+    worker.message_loss = MessageLoss.INBOUND_LOST
     known = holder.worker_registry.workers[worker.name]
     assert world.run(20, lambda: known.reachability_tracker.presumed_unreachable)
     return worker, holder, known
@@ -279,7 +279,7 @@
     worker = workers(world)[0]
     holder = holder_of(world, worker)
     holder.machine_monitor._looks_partitioned = lambda zone: True
-    worker.one_way = OneWay.DEAF
+    worker.message_loss = MessageLoss.INBOUND_LOST
     known = holder.worker_registry.workers[worker.name]
     limit = world.times.report * 1.25 + seconds(1)
     worker.step = lambda: None
@@ -305,7 +305,7 @@
     assert not world.run(20, lambda: machine.state is not MachineState.UP)
     assert not any("silent" in line for line in caplog.messages)
     assert [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")] == written
-    worker.cut = True
+    worker.partitioned = True
     assert world.run(5, lambda: machine.state is MachineState.SILENT)
     assert f"machine {worker.name} (box, a): up -> silent, no report, and no answer" in caplog.messages
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -5,8 +5,8 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.jobs.job_index import Phase
-from kelpjunction.lab.worker import OneWay
-from kelpjunction.lab.world import STORE, Weather, World
+from kelpjunction.lab.worker import MessageLoss
+from kelpjunction.lab.world import STORE, NetworkConditions, World
 from kelpjunction.settings import Team
 
 LIMITED = (Team("red", 8.0, 0.0, 12.0, None), Team("blue", 8.0, 0.0, 12.0, None))
@@ -18,7 +18,7 @@
     """End the leader, and wait until another leads; returns who ended."""
     old = world.leader_name()
     world.kill_node(old)
-    world.later(away, lambda: world.runs(old) or world.start_node(old))
+    world.run_after(away, lambda: world.runs(old) or world.start_node(old))
     assert world.run(15, lambda: world.leader_name() not in (None, old))
     return old
 
@@ -59,9 +59,9 @@
         if how == "hang":
             worker.hang(25.0)
         elif how == "cut":
-            worker.cut = True
+            worker.partitioned = True
         else:
-            worker.one_way = OneWay(how)
+            worker.message_loss = MessageLoss(how)
     world.run(0.5)
     assert [world.abort(f"j-1{t}") for t in "01"] == [200, 200]
     world.kill_node(old := world.leader_name())
@@ -73,7 +73,7 @@
     assert world.run(limit, lambda: world.poll("j-30") == world.poll("j-31") == "done"), "their room was kept for long"
     assert max(used(world, "red"), used(world, "blue")) <= 12.0
     for worker in workers(world):
-        worker.cut, worker.one_way = False, None
+        worker.partitioned, worker.message_loss = False, None
     world.run(30)
     assert world.running("j-1") == []
     assert world.broken == []
@@ -122,7 +122,7 @@
     before = world.leader().blocks.grants[zone].token
     if moment == "start is under way":
         world.filter = lambda source, target, path: "held" if source == old and path == "/commands" else None
-        world.held_for = (1.0, 20.0)
+        world.late_request_delay_s = (1.0, 20.0)
         assert world.run(10, lambda: bool(world.late))
     world.cut_from_store = world.cut_from_peers = {old}
     if moment == "old holder ends":
@@ -134,7 +134,7 @@
             if name not in (old, leader):
                 follow = world.nodes[name].mirror.watch_once
                 world.nodes[name].mirror.watch_once = lambda: None
-                world.later(6.0, lambda n=name, f=follow: setattr(world.nodes[n].mirror, "watch_once", f))
+                world.run_after(6.0, lambda n=name, f=follow: setattr(world.nodes[n].mirror, "watch_once", f))
     told = []
 
     def cancel_around_the_grant() -> bool:
@@ -188,7 +188,7 @@
     world.store.outage(False)
     world.cut_from_store = set()
     world.run(70)
-    assert world.running("j-1") == [] and all(w.hung is None for w in hung)
+    assert world.running("j-1") == [] and all(w.hang_period is None for w in hung)
     assert world.broken == []
 
 
@@ -198,7 +198,7 @@
     world.submit("j-1", run_s=30.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
-    since = worker.renewed
+    since = worker.lease_renewed_at
     worker.hang(40.0)
     assert world.run(40, lambda: len(world.starts) == 2)
     assert world.clock.now - since > world.times.lease, "it might have gone on at any moment within its lease"
@@ -227,7 +227,7 @@
     assert [t["tide"] for t in tasks] == ["flushing"] * 2
     if moment == "with its machine out of reach":
         for worker in workers(world):
-            worker.one_way = OneWay.MUTE
+            worker.message_loss = MessageLoss.OUTBOUND_LOST
         world.filter = lambda source, target, path: "lost" if path == "/commands" else None
     assert world.abort("j-1") == 200
     assert world.run(world.times.cancel.total_seconds() - 1, lambda: world.running("j-1") == [])
@@ -253,8 +253,8 @@
             if writes != "in time":
                 fate = "held" if writes == "late" else "answer lost"
                 world.filter = lambda source, target, path: fate if path == "/commit" and source == leader else None
-            world.later(2.5, lambda: (world.kill_node(leader), setattr(world, "filter", lambda *_: None)))
-            world.later(4.0, lambda: world.runs(leader) or world.start_node(leader))
+            world.run_after(2.5, lambda: (world.kill_node(leader), setattr(world, "filter", lambda *_: None)))
+            world.run_after(4.0, lambda: world.runs(leader) or world.start_node(leader))
         return reply
 
     world.cloud.handle = noting
@@ -275,26 +275,26 @@
 def test_an_old_report_reaches_every_controller_just_as_a_new_leader_begins(age, forgetful):
     world = served(machines=6, capacity=6)
     if age == "before its tasks":
-        world.kept_reports = []
+        world.reports_for_next_leader = []
         world.run(3)
     world.submit("j-1", 6, shape="service", cpus=1.0)
     world.submit("j-2", 6, run_s=25.0, cpus=1.0)
     if age != "before its tasks":
         assert world.run(10, lambda: len(world.running()) == 12)
-        world.kept_reports = []
+        world.reports_for_next_leader = []
         world.run(3)
-        assert any(r["fronds"] for r in world.kept_reports)
-    kept = world.kept_reports
+        assert any(r["fronds"] for r in world.reports_for_next_leader)
+    kept = world.reports_for_next_leader
     assert kept
-    world.kept_reports = None
+    world.reports_for_next_leader = None
     if age == "of an earlier session":
         for worker in workers(world)[::2]:
             worker.session += 1
             worker.tasks.clear()
-            worker.renewed = world.clock.now
+            worker.lease_renewed_at = world.clock.now
     assert world.run(20, lambda: len(world.running("j-1")) == 6)
     world.run(2)
-    world.kept_reports = kept
+    world.reports_for_next_leader = kept
     for name in world.node_names:
         if forgetful == "all" or (forgetful == "one" and name != world.leader_name()):
             world.kill_node(name)
@@ -303,8 +303,10 @@
                 break
     if forgetful != "all":
         world.kill_node(world.leader_name())
-    assert world.run(20, lambda: world.kept_reports == [] or world.kept_reports is not kept), "they came in"
-    world.kept_reports = None
+    assert world.run(20, lambda: world.reports_for_next_leader == [] or world.reports_for_next_leader is not kept), (
+        "they came in"
+    )
+    world.reports_for_next_leader = None
     for name in world.node_names:
         if not world.runs(name):
             world.start_node(name)
@@ -327,7 +329,7 @@
     for number in range(10):
         if outage and number == 4:
             world.store.outage(True)
-            world.later(10.0, lambda: world.store.outage(False))
+            world.run_after(10.0, lambda: world.store.outage(False))
         if name := world.leader_name():
             terms.add(world.nodes[name].leadership.leader_term.term)
             world.kill_node(name)
@@ -338,7 +340,7 @@
             world.abort(f"j-4{number}")
         world.run(11)
     assert len(terms) >= 9
-    late = [f"j-4{n}" for n in range(10) if f"j-4{n}" in world.told]
+    late = [f"j-4{n}" for n in range(10) if f"j-4{n}" in world.last_told_state]
     assert world.run(60, lambda: all(world.poll(r) in ("done", "withdrawn") for r in ("j-2", "j-3", *late)))
     assert len(world.running("j-1")) == 6
     assert world.broken == []
@@ -417,17 +419,19 @@
 
 
 def test_more_work_than_room_urgent_and_not_over_slow_links():
-    world = served(machines=3, capacity=3, weather=Weather(delay=(0.3, 2.5), loss=0.02))
+    world = served(
+        machines=3, capacity=3, network_conditions=NetworkConditions(delay_range_s=(0.3, 2.5), loss_rate=0.02)
+    )
     for n in range(24):
         urgent = n % 4 == 0
         fields = GANG if n % 3 == 1 else {}
         world.submit(f"j-{n:02d}", 4, crew="blue", urgency="high" if urgent else "low", run_s=4.0, cpus=2.0, **fields)
         world.run(1)
-    waiting = [r for r in world.told if not world.running(r) and world.poll(r) == "pending"]
+    waiting = [r for r in world.last_told_state if not world.running(r) and world.poll(r) == "pending"]
     assert len(waiting) > 6, "more work than room"
-    world.idle.judging = True
-    assert world.run(300, lambda: all(world.poll(r) == "done" for r in world.told))
-    assert world.idle.left == {}
+    world.starvation_check.enabled = True
+    assert world.run(300, lambda: all(world.poll(r) == "done" for r in world.last_told_state))
+    assert world.starvation_check.starved_jobs == {}
     assert world.broken == []
 
 
@@ -442,7 +446,7 @@
         answered.append(path)
         return 1.4 if slow and target == STORE and path == "/commit" and len(answered) % 7 == 0 else 0.0
 
-    world.stand_still = wait
+    world.pause_before_request = wait
     for n in range(8):
         world.submit(f"j-{n}", 2, run_s=200.0, cpus=0.5)
     assert world.run(15, lambda: len(world.running()) == 16)
@@ -458,14 +462,14 @@
     while world.clock.now < end:
         world.run(1)
         for n in range(8):
-            asked += world.look(f"j-{n}") if world.clock.now.seconds % 5 == 0 else [world.poll(f"j-{n}")]
+            asked += world.ask_all_nodes(f"j-{n}") if world.clock.now.seconds % 5 == 0 else [world.poll(f"j-{n}")]
             if n > 5:
                 assert world.abort(f"j-{n}") == 503
     assert {*asked} <= {None, "withdrawn"}, "nothing that may be old is told"
     world.store.outage(False)
     world.cut_from_store = set()
     assert world.run(40, lambda: {world.poll(f"j-{n}") for n in (4, 5)} == {"running"})
-    for ref, state in world.told.items():
+    for ref, state in world.last_told_state.items():
         assert world.running(ref) == [] or state != "withdrawn"
     assert world.broken == []
 
@@ -478,7 +482,7 @@
     assert world.run(10, lambda: len(world.running()) == 7)
     mute = [worker_of(world, "j-1/0"), worker_of(world, "j-2/0")]
     for worker in mute:
-        worker.one_way = OneWay.MUTE
+        worker.message_loss = MessageLoss.OUTBOUND_LOST
     world.run(0.3)
     assert world.abort("j-1") == 200
     told = world.clock.now
@@ -488,6 +492,6 @@
     assert stopping, "nobody knows that yet"
     assert world.run(60, lambda: len(world.running("j-2")) == 3 and "l/job/j-1" not in world.store.data)
     for worker in mute:
-        worker.one_way = None
+        worker.message_loss = None
     world.run(30)
     assert world.broken == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,11 +36,11 @@
     cut = [w for w, _ in world.cloud.machines.values() if w.zone == "b"]
     for n, worker in enumerate(cut):
         worker.next_report += seconds(0.4 * n)
-        worker.cut = True
+        worker.partitioned = True
     world.run(20)
     assert len(world.cloud.machines) == 15
     for worker in cut:
-        worker.cut = False
+        worker.partitioned = False
     world.run(20)
     assert all(m.usable for m in world.leader().inventory.machines.values())
 
@@ -48,11 +48,11 @@
 def test_cloud_is_not_asked_for_machines_that_no_record_can_tell_of():
     """Found in a log: a leader asked twice a second for the same machines all through an outage of the store."""
     world = served(machines=2, capacity=2)
-    world.cloud.out = True
+    world.cloud.is_down = True
     world.submit("j-1", 40)
     assert world.run(10, lambda: world.store.data.get("l/cloud", ({},))[0].get("rent"))
     world.store.outage(True)
-    world.cloud.out = False
+    world.cloud.is_down = False
     asked = []
     world.filter = lambda source, target, path: asked.append(path) if path == "/rentals" else None
     world.run(10)
--- a/tests/test_forgotten.py
+++ b/tests/test_forgotten.py
@@ -15,7 +15,7 @@
     for step in range(int(length * 10)):
         world.run(0.1)
         for number, ref in enumerate(refs):
-            if (step + number) % 50 == 0 and world.told.get(ref) == "accepted":
+            if (step + number) % 50 == 0 and world.last_told_state.get(ref) == "accepted":
                 world.poll(ref)
 
 
@@ -39,12 +39,12 @@
     else:
         world.fault("kill", "all", 6.0)
         everybody_asks(world, refs, 6.5)
-    world.attendance.troubles_over(world.clock.now)
+    world.service_level_tracker.on_faults_ended(world.clock.now)
     everybody_asks(world, refs, 80)
-    assert world.attendance.forgotten == {}
-    assert world.attendance.longest <= seconds(10)
+    assert world.service_level_tracker.unanswered_jobs == {}
+    assert world.service_level_tracker.longest_unanswered <= seconds(10)
     everybody_asks(world, refs, 150 if changes < 15 else 20)
-    assert [ref for ref in refs if world.told[ref] != "done"] == []
+    assert [ref for ref in refs if world.last_told_state[ref] != "done"] == []
     assert world.broken == []
 
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -12,7 +12,7 @@
 from traces import served
 
 from kelpjunction.clock import seconds
-from kelpjunction.lab.world import STORE, Weather, World
+from kelpjunction.lab.world import STORE, NetworkConditions, World
 from kelpjunction.renewal import MIN_COMFORTABLE_GRACE, LeaseRenewalPolicy
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.store.client import StoreClient
@@ -115,7 +115,7 @@
 def test_gap_with_workers_whose_clocks_drift(pace):
     world = served(machines=9, capacity=9, times=TIGHT)
     for worker, _ in world.cloud.machines.values():
-        worker.pace = pace
+        worker.clock_rate = pace
     play(world, Gap())
     assert world.broken == []
 
@@ -123,7 +123,7 @@
 def test_gap_with_reports_and_answers_on_their_way_for_seconds():
     """A 200 that was checked long before it arrives renews no more than its report's sending does."""
     world = served(machines=9, capacity=9, times=TIGHT)
-    world.weather = Weather(delay=(0.1, 3.8), loss=0.0)
+    world.network_conditions = NetworkConditions(delay_range_s=(0.1, 3.8), loss_rate=0.0)
     play(world, Gap())
     assert world.broken == []
 
@@ -148,13 +148,13 @@
             world.cut_from_store = {holder}
             world.run(0.5)
             _cancel(world, "j-1", other)
-            world.later(1.5, lambda: world.store.outage(True))
-            world.later(62.0, lambda: world.store.outage(False))
+            world.run_after(1.5, lambda: world.store.outage(True))
+            world.run_after(62.0, lambda: world.store.outage(False))
             return 3.0
         return 0.0
 
     world.run(1)
-    world.stand_still = strike
+    world.pause_before_request = strike
     world.submit("j-1", 12, run_s=300.0, cpus=0.5, node=other)
     world.run(90)
     assert struck == [path]
@@ -171,7 +171,7 @@
     assert world.run(10, lambda: len(world.running("j-1")) == 9)
     workers = [w for w, _ in world.cloud.machines.values()]
     for worker in workers[::2]:
-        worker.restart() if what == "restart" else setattr(worker, "cut", True)
+        worker.restart() if what == "restart" else setattr(worker, "partitioned", True)
     world.cut_from_store = {old}
     world.run(0.5)
     _cancel(world, "j-1", other)
@@ -179,7 +179,7 @@
     world.store.outage(True)
     world.run(17)  # where a lease ends that is not renewed
     for worker in workers:
-        worker.cut = False
+        worker.partitioned = False
     world.run(45)
     assert world.broken == []
     world.store.outage(False)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,39 +15,47 @@
 
 from kelpjunction.clock import ZERO
 from kelpjunction.intake import UserResponse
-from kelpjunction.lab.account import Account
-from kelpjunction.lab.farm import BROKEN_IMAGE, PAUSE, TEAMS, Farm, FarmWorld, ticket, ticket_class
 from kelpjunction.lab.site import STORE_LIMITS
+from kelpjunction.lab.ticket_simulation import (
+    BROKEN_IMAGE,
+    RERUN_PAUSE,
+    TEAMS,
+    TicketSimulation,
+    TicketWorld,
+    ticket,
+    ticket_class,
+)
+from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.settings import SettingsError
-from kelpjunction.tickets.classes import Runs, load_tickets, runs_again
-from kelpjunction.tickets.course import Course, End, Final, StepState
+from kelpjunction.tickets.classes import RerunPolicy, load_tickets, runs_again
 from kelpjunction.tickets.gateway import Application
-from kelpjunction.tickets.plan import Order, Plan, Step, plan
+from kelpjunction.tickets.plan import Plan, Step, SubmissionOptions, build_plan
+from kelpjunction.tickets.progress import FinalRecord, FinalState, StepState, TicketProgress
 from kelpjunction.tickets.records import HEAD_PREFIX, PART_PREFIX, STAGE_PREFIX, TICKET_PREFIX
 
 NOW = datetime(2026, 3, 1, tzinfo=UTC)
 
 
-def farm(**how) -> FarmWorld:
-    world = FarmWorld(**{"seed": 1, "machines": 9, "capacity": 12, "teams": TEAMS} | how)
+def farm(**how) -> TicketWorld:
+    world = TicketWorld(**{"seed": 1, "machines": 9, "capacity": 12, "teams": TEAMS} | how)
     world.run(6)
     return world
 
 
-def submit(world: FarmWorld, fields: dict, gateway: str | None = None) -> tuple[int | None, dict]:
+def submit(world: TicketWorld, fields: dict, gateway: str | None = None) -> tuple[int | None, dict]:
     return world.ask_gateway("submit", orjson.dumps(fields), gateway)
 
 
-def state(world: FarmWorld, run: str, gateway: str | None = None) -> str | None:
+def state(world: TicketWorld, run: str, gateway: str | None = None) -> str | None:
     return world.ask_gateway("show", run, gateway)[1].get("state")
 
 
-def ended(world: FarmWorld, run: str, within: float = 90.0) -> dict:
+def ended(world: TicketWorld, run: str, within: float = 90.0) -> dict:
     assert world.run(within, lambda: state(world, run) in ("done", "failed", "cancelled")), state(world, run)
     return world.ask_gateway("show", run)[1]
 
 
-def records(world: FarmWorld, *prefixes: str) -> list[str]:
+def records(world: TicketWorld, *prefixes: str) -> list[str]:
     return [key for key in world.store.data if key.startswith(prefixes or ("t/head", "t/l/ticket", "t/end", "t/part"))]
 
 
@@ -75,7 +83,7 @@
     assert f"l/job/{second['job']}" in world.store.data
 
 
-def steps(world: FarmWorld) -> list[dict]:
+def steps(world: TicketWorld) -> list[dict]:
     return world.ask_gateway("show", "chain-1")[1]["steps"]
 
 
@@ -83,8 +91,8 @@
     world = farm()
     submit(world, ticket("chain", "once", 1, run=6.0))
     for _ in range(2):
-        assert world.run(20, lambda: world.driving() is not None)
-        world.gateways[world.driving()] = None
+        assert world.run(20, lambda: world.driver_name() is not None)
+        world.gateways[world.driver_name()] = None
         world.run(4)
         for name in [n for n, g in world.gateways.items() if g is None]:
             world.start_gateway(name)
@@ -95,17 +103,17 @@
     """Between its last look and its write the ticket was cancelled through another: the write fails."""
     world = farm()
     submit(world, ticket("chain", "once", 1))
-    assert world.run(10, lambda: world.driving() is not None)
-    stale = world.gateways[world.driving()]
+    assert world.run(10, lambda: world.driver_name() is not None)
+    stale = world.gateways[world.driver_name()]
     other = next(n for n in world.gateways if n != stale.settings.name)
-    world.asleep[stale.settings.name] = world.clock.now + timedelta(hours=1)
+    world.paused_until[stale.settings.name] = world.clock.now + timedelta(hours=1)
     assert world.run(30, lambda: not records(world, "l/job/")), "the first step ends unseen"
     assert world.ask_gateway("cancel", "chain-1", other)[1]["state"] == "cancelled"
     jobs = set(records(world, "l/job/", "e/"))
     stale.follow(stale.jobs)  # the job's end, and not the cancellation
-    stale.drive()
+    stale.reconcile()
     assert set(records(world, "l/job/", "e/")) == jobs
-    world.asleep.clear()
+    world.paused_until.clear()
     world.run(50)
     assert set(records(world, "l/job/", "e/")) == jobs
     assert all(state(world, "chain-1", name) == "cancelled" for name in world.gateways)
@@ -115,9 +123,9 @@
     world = farm()
     submit(world, ticket("chain", "once", 1, run=20.0))
     world.run(2)
-    world.asleep["gate-1"] = world.clock.now + timedelta(hours=1)
+    world.paused_until["gate-1"] = world.clock.now + timedelta(hours=1)
     assert world.ask_gateway("cancel", "chain-1", "gate-0")[1]["state"] == "cancelled"
-    answer = world.gateways["gate-1"].desk.show("chain-1")
+    answer = world.gateways["gate-1"].ticket_requests.show("chain-1")
     assert (answer.status, orjson.loads(answer.body)["state"]) == (200, "cancelled")
 
 
@@ -127,9 +135,9 @@
     submit(world, ticket("single", "once", 1))
     world.run(1)
     for name in world.gateways:
-        world.asleep[name] = world.clock.now + timedelta(hours=1)
+        world.paused_until[name] = world.clock.now + timedelta(hours=1)
     assert world.run(30, lambda: not records(world, "l/job/"))
-    answer = world.gateways["gate-1"].desk.cancel("single-1")
+    answer = world.gateways["gate-1"].ticket_requests.cancel("single-1")
     assert (answer.status, orjson.loads(answer.body)["state"]) == (200, "done")
     assert records(world, "l/job/") == []
 
@@ -137,7 +145,7 @@
 def test_a_part_that_is_written_late_leaves_nothing_behind():
     """Held back on its way until what it belongs to was swept."""
     world = farm(machines=3, gateways=1)
-    world.held_for = (400.0, 400.0)
+    world.late_request_delay_s = (400.0, 400.0)
     held: list[str] = []
 
     def fate(source: str, target: str, path: str) -> str | None:
@@ -169,9 +177,9 @@
             left[0] -= 1
             return fate if left[0] == -1 else None
 
-        world.kill_at = kill
+        world.kill_decision = kill
         status, _ = submit(world, fields)
-        world.kill_at = lambda name, path: None
+        world.kill_decision = lambda name, path: None
         if status is not None:
             assert status == 201
             break
@@ -198,12 +206,12 @@
         staged = [world.store.data[key][0]["parts"] for key in records(world, STAGE_PREFIX)]
         if name == slow and path == "/commit" and staged == [len(records(world, PART_PREFIX))] and not waited:
             waited.append(path)
-            world.asleep[slow] = world.clock.now + timedelta(minutes=20)
+            world.paused_until[slow] = world.clock.now + timedelta(minutes=20)
             world.run(600, lambda: not records(world, PART_PREFIX))
-            del world.asleep[slow]
+            del world.paused_until[slow]
 
     waited: list[str] = []
-    world.kill_at = wait
+    world.kill_decision = wait
     status, _ = submit(world, fields, slow)
     assert (status, waited) == (201, ["/commit"])
     token = world.store.data["t/l/ticket/long-1.1"][0]["plan"][0]
@@ -260,16 +268,16 @@
 
 
 def test_how_often_a_ticket_runs():
-    def end(final: Final, ago: timedelta) -> End:
-        return End(final, NOW - ago, NOW - ago + timedelta(days=1), (), None)
+    def end(final: FinalState, ago: timedelta) -> FinalRecord:
+        return FinalRecord(final, NOW - ago, NOW - ago + timedelta(days=1), (), None)
 
-    done, failed = end(Final.DONE, PAUSE / 2), end(Final.FAILED, PAUSE / 2)
-    paused, forgotten = end(Final.DONE, PAUSE), end(Final.DONE, timedelta(days=1))
+    done, failed = end(FinalState.DONE, RERUN_PAUSE / 2), end(FinalState.FAILED, RERUN_PAUSE / 2)
+    paused, forgotten = end(FinalState.DONE, RERUN_PAUSE), end(FinalState.DONE, timedelta(days=1))
     table = {
-        Runs.ONCE: [(1, None, False), (1, done, False), (1, failed, False), (1, forgotten, True)],
-        Runs.AFTER_FAILURE: [(1, None, False), (1, done, False), (1, failed, True), (2, failed, False)],
-        Runs.AFTER_PAUSE: [(1, None, False), (1, failed, False), (1, done, False), (9, paused, True)],
-        Runs.ALWAYS: [(1, None, True), (7, done, True)],
+        RerunPolicy.ONCE: [(1, None, False), (1, done, False), (1, failed, False), (1, forgotten, True)],
+        RerunPolicy.AFTER_FAILURE: [(1, None, False), (1, done, False), (1, failed, True), (2, failed, False)],
+        RerunPolicy.AFTER_PAUSE: [(1, None, False), (1, failed, False), (1, done, False), (9, paused, True)],
+        RerunPolicy.ALWAYS: [(1, None, True), (7, done, True)],
     }
     for runs, cases in table.items():
         klass = ticket_class("c", runs)
@@ -299,7 +307,7 @@
             other.append((None, {}))
             other[0] = submit(world, fields, "gate-1")
 
-    world.kill_at = meanwhile
+    world.kill_decision = meanwhile
     status, answer = submit(world, fields, "gate-0")
     assert (status, other[0][0], answer["ticket"]) == (200, 201, other[0][1]["ticket"])
     assert len(records(world, TICKET_PREFIX, "l/job/")) == 2, "one course, and its first step's job"
@@ -337,7 +345,7 @@
 
 
 def test_what_is_remembered_is_forgotten_after_its_window():
-    short = ticket_class("once", Runs.ONCE, remember=timedelta(seconds=60))
+    short = ticket_class("once", RerunPolicy.ONCE, remember=timedelta(seconds=60))
     world = farm(classes={"once": short}, machines=3)
     fields = ticket("single", "once", 1)
     submit(world, fields)
@@ -349,7 +357,7 @@
     world.run(5)
     assert submit(world, fields)[0] == 200
     assert submit(world, ticket("chain", "once", 1))[0] == 201
-    idle = next(name for name in world.gateways if name != world.driving())
+    idle = next(name for name in world.gateways if name != world.driver_name())
     assert world.ask_gateway("cancel", "chain-1", idle)[0] == 200  # it ends without the one that drives
     world.run(90)
     assert records(world) == []
@@ -360,41 +368,43 @@
 # -- failing and cancelling -------------------------------------------------------------------
 
 
-def course(*states: StepState) -> Course:
-    return Course("c", "red", NOW, states, "", "")
+def course(*states: StepState) -> TicketProgress:
+    return TicketProgress("c", "red", NOW, states, "", "")
 
 
 def diamond() -> Plan:
     links = {"a": (), "b": ("a",), "c": ("a",), "d": ("b", "c")}
-    return plan("t-1", "n", [Step(name, 1, depends_on=after) for name, after in links.items()], Order("red"))
+    return build_plan(
+        "t-1", "n", [Step(name, 1, depends_on=after) for name, after in links.items()], SubmissionOptions("red")
+    )
 
 
 def test_a_failed_step_ends_what_depends_on_it_and_the_rest_as_its_class_says():
     w, s, d, f, c = StepState
     made, now = diamond(), course(d, s, s, w)
-    after = now.moved({1: f}).without_hope(made)
+    after = now.with_step_states({1: f}).with_blocked_steps_cancelled(made)
     assert after.states == (d, f, s, c)
-    assert now.moved({1: f}).halted().states == (d, f, s, c)
-    assert course(w, w, w, w).ready(made) == [0]
-    assert course(d, d, s, w).ready(made) == []
+    assert now.with_step_states({1: f}).with_submission_stopped().states == (d, f, s, c)
+    assert course(w, w, w, w).ready_steps(made) == [0]
+    assert course(d, d, s, w).ready_steps(made) == []
     with pytest.raises(ValueError, match="can't go from DONE"):
-        now.moved({0: s})
+        now.with_step_states({0: s})
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(StepState)), max_size=12), st.integers(0, 12))
 def test_a_course_ends_once_and_its_record_holds_all_of_it(moves, halt_at):
     now = course(*[StepState.WAITING] * 4)
     for number, (place, to) in enumerate(moves):
-        if number == halt_at and now.final is None:
-            now = now.halted(cancelled=True)
-        was = now.final
+        if number == halt_at and now.final_state is None:
+            now = now.with_submission_stopped(cancelled=True)
+        was = now.final_state
         try:
-            now = now.moved({place: to})
+            now = now.with_step_states({place: to})
         except ValueError:
             continue
         assert was is None, "nothing moves once all steps have ended"
-        assert Course.parse(orjson.loads(orjson.dumps(now.record()))) == now
-    assert now.final is not Final.DONE or now.states == (StepState.DONE,) * 4
+        assert TicketProgress.parse(orjson.loads(orjson.dumps(now.record()))) == now
+    assert now.final_state is not FinalState.DONE or now.states == (StepState.DONE,) * 4
 
 
 @pytest.mark.parametrize("after", [0.0, 4.0, 8.0])
@@ -458,7 +468,7 @@
     held = []
     for native in (False, True):
         world = farm(gateways=1)
-        account = Account(world.store, world.clock)
+        account = UsageObserver(world.store, world.clock)
         fields = ticket("wide", "once", 1, run=7.0, tasks=70)
         if native:
             what = {"crew": "farm", "stripe": "once", "cpus": 1.0, "ram_gb": 1.0, "bundle": "img", "expect_s": 7.0}
@@ -473,9 +483,9 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_tickets_and_native_jobs_together_through_kills_and_outages(seed):
     """Shortened; benchmarks/tickets.py plays a thousand."""
-    verdict = Farm(seed, tickets=40, length=120.0).play()
+    verdict = TicketSimulation(seed, tickets=40, length=120.0).play()
     assert verdict.problems == []
-    assert verdict.ledger == verdict.account
+    assert verdict.ledger == verdict.observed_usage
     assert verdict.faults >= 5
     assert set(verdict.ends) == {"done", "failed", "cancelled"}
 
@@ -483,7 +493,7 @@
 # -- the entry ------------------------------------------------------------------------------------
 
 
-def ask(world: FarmWorld, method: str, path: str, body: bytes = b"", length: int | None = None) -> UserResponse:
+def ask(world: TicketWorld, method: str, path: str, body: bytes = b"", length: int | None = None) -> UserResponse:
     """Through the WSGI application, as HTTP brings it."""
     told = []
     environ = {
@@ -496,10 +506,10 @@
     return UserResponse(int(status[:3]), content, headers.get("Retry-After"))
 
 
-WORLD: list[FarmWorld] = []
+WORLD: list[TicketWorld] = []
 
 
-def shared() -> FarmWorld:
+def shared() -> TicketWorld:
     if not WORLD:
         WORLD.append(farm(machines=3, gateways=1))
     return WORLD[0]
@@ -577,12 +587,16 @@
     with pytest.raises(SettingsError, match=r"classes\.c\.runs"):
         load_tickets(file)
     file.write_text('{"name": "g", "listen": "127.0.0.1:1", "classes": {"c": {"runs": "once"}}}')
-    klass = load_tickets(file).klass("c")
-    assert (klass.runs, klass.remember, klass.pause > ZERO) == (Runs.ONCE, timedelta(days=31), True)
-    assert load_tickets(file).klass("gone").runs is Runs.ONCE
+    klass = load_tickets(file).ticket_class("c")
+    assert (klass.rerun_policy, klass.retention, klass.min_rerun_interval > ZERO) == (
+        RerunPolicy.ONCE,
+        timedelta(days=31),
+        True,
+    )
+    assert load_tickets(file).ticket_class("gone").rerun_policy is RerunPolicy.ONCE
 
 
 def test_the_settings_under_deploy_are_valid_and_what_starts_a_gateway_names_them():
     deploy = Path(__file__).resolve().parent.parent / "deploy"
-    assert {klass.runs for klass in load_tickets(deploy / "tickets.json").classes.values()} == set(Runs)
+    assert {klass.rerun_policy for klass in load_tickets(deploy / "tickets.json").classes.values()} == set(RerunPolicy)
     assert "--settings deploy/tickets.json --config" in tomllib.loads((deploy / "gateway.toml").read_text())["run"]
--- a/tests/test_giants.py
+++ b/tests/test_giants.py
@@ -5,7 +5,7 @@
 import pytest
 from traces import served
 
-from kelpjunction.lab.attendance import LARGEST_WITHIN
+from kelpjunction.lab.service_levels import LARGEST_JOBS_START_LIMIT
 
 GANG = {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0, "run_s": 20.0, "stripe": "gang"}
 
@@ -22,7 +22,12 @@
 
 def late(world) -> list[str]:
     """Large jobs that began too late, or not yet though it is too late."""
-    return [ref for row in world.attendance.served(world.clock.now) for ref in row.late if not ref.startswith("j-9")]
+    return [
+        ref
+        for row in world.service_level_tracker.service_levels(world.clock.now)
+        for ref in row.late
+        if not ref.startswith("j-9")
+    ]
 
 
 @pytest.mark.parametrize("team", ["red", "blue"])
@@ -66,7 +71,7 @@
         else:
             name = world.leader_name()
             world.kill_node(name)
-            world.later(5.0, lambda: world.start_node(name))
+            world.run_after(5.0, lambda: world.start_node(name))
 
     beside_a_stream(world, 10, crew="blue")
     world.submit("j-1", 3, cpus=7.0, crew="blue", together=True, **GANG)
@@ -85,4 +90,4 @@
     assert world.run(15, lambda: world.poll("j-3") == "done")
     job = world.leader().job_index.jobs["j-2"]
     assert job.pending_reason == "its team is at its limit, and its services leave no room for the gang"
-    assert LARGEST_WITHIN.total_seconds() == 240
+    assert LARGEST_JOBS_START_LIMIT.total_seconds() == 240
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -31,7 +31,7 @@
 
 
 def test_named_array_stops_what_no_objective_names_and_lets_it_save():
-    world = served(machines=3, capacity=3, aimed=frozenset({"import"}))
+    world = served(machines=3, capacity=3, classes_with_objectives=frozenset({"import"}))
     world.submit("j-1", 12, crew="blue", urgency="low", run_s=300.0, mark_s=5.0, stow_s=1.0, driftwood=True)
     assert world.run(10, lambda: len(world.running("j-1")) == 12)
     world.submit("j-2", 4, crew="blue", stripe="import", run_s=4.0)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -11,9 +11,9 @@
 
 
 def watched(world: World, length: float) -> dict:
-    world.idle.judging = True
+    world.starvation_check.enabled = True
     world.run(length)
-    return world.idle.left
+    return world.starvation_check.starved_jobs
 
 
 def test_the_check_notices_a_job_that_is_left_waiting():
@@ -25,7 +25,7 @@
     assert list(watched(world, 95)) == ["j-1"]
     world.cloud.add("a", False, world.clock.now)
     world.run(100)
-    assert list(world.idle.left) == ["j-1", "j-2"]
+    assert list(world.starvation_check.starved_jobs) == ["j-1", "j-2"]
 
 
 def test_a_guest_beside_a_gang_that_can_not_come_together():
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -15,7 +15,7 @@
 from kelpjunction.metrics import Metrics
 from kelpjunction.settings import SettingsError, load_operator_settings, load_platform_settings
 from kelpjunction.transport import HttpTransport
-from kelpjunction.wire.users import Malformed, fields_to_keep, parse_job
+from kelpjunction.wire.users import MalformedMessage, fields_to_keep, parse_job
 from kelpjunction.wire.workers import parse_report
 
 EXAMPLE = Path(__file__).with_name("example.toml")
@@ -87,7 +87,7 @@
     ],
 )  # fmt: skip
 def test_malformed_submission_is_refused_by_field(change, named):
-    with pytest.raises(Malformed, match=named):
+    with pytest.raises(MalformedMessage, match=named):
         parse_job(GOOD | change)
 
 
@@ -98,15 +98,15 @@
     assert spec == parse_job(GOOD | {"hulls": None, "bay": None, "due_s": None})
     for name in GOOD.keys() - {"hulls", "later_field"}:
         for wrong in (GOOD | {name: None}, {k: v for k, v in GOOD.items() if k != name}):
-            with pytest.raises(Malformed, match=name):
+            with pytest.raises(MalformedMessage, match=name):
                 parse_job(wrong)
     assert "later_field" not in fields_to_keep(GOOD)
 
 
 def test_malformed_report_is_refused():
-    with pytest.raises(Malformed, match="watch"):
+    with pytest.raises(MalformedMessage, match="watch"):
         parse_report(b'{"holdfast":"n-1","address":"10.0.0.1:1","hull":"g","bay":"a","tally":1}')
-    with pytest.raises(Malformed, match="JSON"):
+    with pytest.raises(MalformedMessage, match="JSON"):
         parse_report(b"\xff")
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,11 +9,11 @@
 
 from kelpjunction import logs
 from kelpjunction.cli import main
-from kelpjunction.cli.jobs import Caller
-from kelpjunction.lab.farm import FarmWorld
+from kelpjunction.cli.jobs import RetryingClient
 from kelpjunction.lab.scenario import Player, load
 from kelpjunction.lab.site import Refused
-from kelpjunction.lab.world import Weather, World
+from kelpjunction.lab.ticket_simulation import TicketWorld
+from kelpjunction.lab.world import NetworkConditions, World
 from kelpjunction.transport import NoResponse, Reply
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -44,7 +44,7 @@
 
 
 def test_a_broken_rule_fails_the_scenario():
-    site = FarmWorld(machines=3)
+    site = TicketWorld(machines=3)
     player = Player(site, load(ROOT / "examples" / "demo.toml"))
     site.broken.append("ran_twice: j-100/0")
     assert player.play() is False
@@ -118,7 +118,7 @@
     """Six seeds gave six equal runs: a seed that moves nothing proves nothing."""
     summaries = []
     for seed in (1, 2, 3, 1):
-        player = playing((12, "kill", "leader", 6), seed=seed, weather=Weather(loss=0.01))
+        player = playing((12, "kill", "leader", 6), seed=seed, network_conditions=NetworkConditions(loss_rate=0.01))
         assert player.play(), player.problems()
         summaries.append(player.summary())
     assert summaries[0] == summaries[3]
@@ -140,14 +140,14 @@
 
 
 def test_the_next_node_is_asked_until_an_answer_counts():
-    caller = Caller("a:1,b:1", 60, pause=lambda s: None)
+    caller = RetryingClient("a:1,b:1", 60, pause=lambda s: None)
     caller._transport = Nobody(NoResponse("no"), Reply(503, {}), Reply(429, {}), Reply(404, {"error": "no such job"}))
     assert caller.ask("GET", "/api/jobs/j-1").status == 404
     assert caller._transport.asked == ["a:1", "b:1", "a:1", "b:1"]
 
 
 def test_exit_code_3_says_what_to_do_when_nothing_listens(capsys):
-    caller = Caller("a:1", 0, pause=lambda s: None)
+    caller = RetryingClient("a:1", 0, pause=lambda s: None)
     caller._transport = Nobody()
     with pytest.raises(SystemExit) as ended:
         caller.ask("GET", "/api/jobs/j-1")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,27 +10,27 @@
 from hypothesis import strategies as st
 
 from kelpjunction.cli import main
-from kelpjunction.lab.account import Account
-from kelpjunction.lab.weeks import Weeks
+from kelpjunction.lab.ledger_simulation import LedgerSimulation
+from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.lab.world import Team, World
-from kelpjunction.ledger import archive, keeper, reader
+from kelpjunction.ledger import archive, reader, writer
 from kelpjunction.ledger.accounts import (
-    Amounts,
     Balance,
-    Malformed,
-    Page,
+    BalancePage,
+    LedgerError,
     Policy,
-    Row,
-    charged,
+    ResourceTime,
+    TeamRow,
+    apply_charge,
     close,
     closing_entry,
-    held,
+    resource_time,
     settings_entry,
     total,
 )
 from kelpjunction.ledger.audit import audit, check_chain, replay
-from kelpjunction.ledger.fading import FORMS, ONE, factor, fade, full_use
-from kelpjunction.ledger.reader import Base, Books
+from kelpjunction.ledger.decay import FACTOR_FUNCTIONS, FIXED_POINT_ONE, decay, factor, steady_state_usage
+from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
 from kelpjunction.ledger.report import html
 from kelpjunction.settings import OperatorSettings, load_operator_settings
 
@@ -53,43 +53,43 @@
 
 @given(st.integers(0, 2**63), st.integers(0, 50 * WEEK), st.integers(60_000, 13 * WEEK))
 def test_fading_halves_and_is_monotone(amount, passed, half_life):
-    left = fade(amount, passed, half_life)
+    left = decay(amount, passed, half_life)
     true = amount * 2.0 ** (-passed / half_life)
     assert true * (1 - 1e-9) - 1 <= left <= true * (1 + 1e-9)
-    assert fade(amount, half_life, half_life) == amount >> 1
-    assert fade(amount, passed + 1, half_life) <= left, "monotone in time"
-    assert fade(amount + 1, passed, half_life) >= left, "monotone in the amount"
+    assert decay(amount, half_life, half_life) == amount >> 1
+    assert decay(amount, passed + 1, half_life) <= left, "monotone in time"
+    assert decay(amount + 1, passed, half_life) >= left, "monotone in the amount"
 
 
-@pytest.mark.parametrize("form", FORMS)
+@pytest.mark.parametrize("form", FACTOR_FUNCTIONS)
 @given(faded=st.integers(0, 2**62), more=st.integers(0, 2**40), share=st.integers(1, 10**7))
 def test_the_factor_falls_with_usage_between_the_floor_and_one(form, faded, more, share):
-    floor = ONE // 20
+    floor = FIXED_POINT_ONE // 20
     here = factor(form, faded, share, WEEK, floor)
-    assert floor <= factor(form, faded + more, share, WEEK, floor) <= here <= ONE
-    assert factor(form, 0, share, WEEK, floor) == ONE
+    assert floor <= factor(form, faded + more, share, WEEK, floor) <= here <= FIXED_POINT_ONE
+    assert factor(form, 0, share, WEEK, floor) == FIXED_POINT_ONE
 
 
 def test_the_forms_at_a_share_used_in_full():
-    full = full_use(16_000, WEEK)
-    assert [round(form(full, full) / ONE, 6) for form in FORMS.values()] == [0.5, 0.5, 0.75]
+    full = steady_state_usage(16_000, WEEK)
+    assert [round(form(full, full) / FIXED_POINT_ONE, 6) for form in FACTOR_FUNCTIONS.values()] == [0.5, 0.5, 0.75]
 
 
 def test_a_team_that_was_away_for_a_month_stands_where_a_new_one_stands():
-    used = charged(0, 0, held(16.0, 0.0, 0.0, DAY), 16_000, POLICY)
-    month = charged(used.faded, 30 * DAY, Amounts(), 16_000, POLICY)
-    year = charged(used.faded, 365 * DAY, Amounts(), 16_000, POLICY)
-    new = charged(0, DAY, Amounts(), 16_000, POLICY)
-    assert used.factor < month.factor < new.factor == ONE
-    assert year.factor == ONE, "no banking: it only comes back to one"
+    used = apply_charge(0, 0, resource_time(16.0, 0.0, 0.0, DAY), 16_000, POLICY)
+    month = apply_charge(used.decayed_usage, 30 * DAY, ResourceTime(), 16_000, POLICY)
+    year = apply_charge(used.decayed_usage, 365 * DAY, ResourceTime(), 16_000, POLICY)
+    new = apply_charge(0, DAY, ResourceTime(), 16_000, POLICY)
+    assert used.factor < month.factor < new.factor == FIXED_POINT_ONE
+    assert year.factor == FIXED_POINT_ONE, "no banking: it only comes back to one"
 
 
 def test_a_heavy_user_yields_gradually_and_is_not_starved():
     factors, faded = [], 0
     for _ in range(60):
-        row = charged(faded, DAY, held(96.0, 0.0, 0.0, DAY), 8_000, POLICY)
-        factors.append(row.factor / ONE)
-        faded = row.faded
+        row = apply_charge(faded, DAY, resource_time(96.0, 0.0, 0.0, DAY), 8_000, POLICY)
+        factors.append(row.factor / FIXED_POINT_ONE)
+        faded = row.decayed_usage
     assert factors == sorted(factors, reverse=True)
     assert 0.4 < factors[0] < 0.6
     assert factors[-1] == pytest.approx(1 / 13, rel=0.05), "twelve times its share for long"
@@ -106,18 +106,18 @@
 )  # fmt: skip
 
 
-def written(steps) -> Books:
+def written(steps) -> LedgerContents:
     """A ledger of these stretches: (ms passed, what each team's jobs held that ended, and have open)."""
     entries = [settings_entry(1, "", 0, POLICY, "n term 1")]
-    page = Page(0, 0, {})
+    page = BalancePage(0, 0, {})
     for passed, now in steps:
-        amounts = {team: (Amounts(over), Amounts(open_)) for team, (over, open_) in now.items()}
+        amounts = {team: (ResourceTime(over), ResourceTime(open_)) for team, (over, open_) in now.items()}
         before = page
-        page, rows = close(page, page.at + passed, page.revision + 1, amounts, POLICY, TEAMS)
+        page, rows = close(page, page.closed_at_ms + passed, page.revision + 1, amounts, POLICY, TEAMS)
         last = entries[-1]
-        entries.append(closing_entry(last["n"] + 1, last["hash"], 0, before.at, page, rows, "n term 1"))
+        entries.append(closing_entry(last["n"] + 1, last["hash"], 0, before.closed_at_ms, page, rows, "n term 1"))
     head = {"n": entries[-1]["n"], "hash": entries[-1]["hash"]}
-    return Books(Base(), [orjson.loads(orjson.dumps(e)) for e in entries], head, {0: page})
+    return LedgerContents(LedgerSnapshot(), [orjson.loads(orjson.dumps(e)) for e in entries], head, {0: page})
 
 
 @given(stretches)
@@ -128,7 +128,7 @@
     for team in ("red", "blue", "guest"):
         ended = sum(now[team][0] for _, now in steps if team in now)
         open_ = steps[-1][1].get(team, (0, 0))[1]
-        assert sums.get(team, Amounts()).cpus == ended + open_
+        assert sums.get(team, ResourceTime()).cpus == ended + open_
     assert audit(books).fault is None
 
 
@@ -158,11 +158,11 @@
     row = list(second["teams"]["red"])
     row[4] -= 1  # a little less usage than the charges lead to
     forged = second | {"teams": {"red": row}}
-    page = Page(forged["t"], forged["r"], {})
-    rows = {"red": Row(Amounts(*row[:3]), *row[3:])}
+    page = BalancePage(forged["t"], forged["r"], {})
+    rows = {"red": TeamRow(ResourceTime(*row[:3]), *row[3:])}
     forged = closing_entry(2, first["hash"], 0, forged["since"], page, rows, forged["by"])
-    assert check_chain(Base(), [first, forged]) is None
-    fault = replay(Base(), [first, forged]).fault
+    assert check_chain(LedgerSnapshot(), [first, forged]) is None
+    fault = replay(LedgerSnapshot(), [first, forged]).fault
     assert fault.number == 2
     assert "team red" in fault.why
 
@@ -172,9 +172,9 @@
     books = written([(DAY, {"red": (10**9, 0)})])
     last = books.entries[-1]
     changed = settings_entry(3, last["hash"], last["t"], other, "m term 2")
-    page, rows = close(books.pages[0], 2 * DAY, 9, {"red": (Amounts(5), Amounts())}, other, TEAMS)
+    page, rows = close(books.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
     closing = closing_entry(4, changed["hash"], 0, last["t"], page, rows, "m term 2")
-    done = replay(Base(), [*books.entries, changed, closing])
+    done = replay(LedgerSnapshot(), [*books.entries, changed, closing])
     assert done.fault is None
     assert done.base.policy == other
 
@@ -182,23 +182,25 @@
 # -- kept through any crash --------------------------------------------------------------
 
 
-def ledgered(**changes) -> tuple[World, Account]:
+def ledgered(**changes) -> tuple[World, UsageObserver]:
     """A world that keeps a ledger, with the rig's own account beside it."""
     world = World(machines=6, operators=operators(period=timedelta(seconds=2), **changes))
-    account = Account(world.store, world.clock)
+    account = UsageObserver(world.store, world.clock)
     world.run(6)
     assert world.leader() is not None
     return world, account
 
 
 def entries(world: World) -> list[dict]:
-    return [v[0] for k, v in sorted(world.store.data.items()) if k.startswith(keeper.ENTRY_PREFIX)]
+    return [v[0] for k, v in sorted(world.store.data.items()) if k.startswith(writer.ENTRY_PREFIX)]
 
 
-def assert_equal(world: World, account: Account) -> Books:
+def assert_equal(world: World, account: UsageObserver) -> LedgerContents:
     """Let everything end; the ledger must say what the account says, to the millisecond, and hold its audit."""
     world.filter = lambda source, target, path: None
-    assert world.run(150, lambda: account.left() == 0 and not any(k.startswith("l/job/") for k in world.store.data))
+    assert world.run(
+        150, lambda: account.open_row_count() == 0 and not any(k.startswith("l/job/") for k in world.store.data)
+    )
     world.run(15)
     books = reader.read(next(n.store for n in world.nodes.values() if n is not None))
     sums = total(books.entries)
@@ -241,14 +243,14 @@
         return None
 
     closing = [False]
-    step = world.nodes[leader].ledger_keeper.step
+    step = world.nodes[leader].ledger_keeper.run_once
 
     def noticed() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    world.nodes[leader].ledger_keeper.step = noticed
+    world.nodes[leader].ledger_keeper.run_once = noticed
     world.filter = strike
     assert world.run(8, lambda: struck != [])
     world.kill_node(leader)
@@ -264,15 +266,15 @@
     submit(world, run_s=30.0)
     leader = world.leader()
     closing = [False]
-    step = leader.ledger_keeper.step
+    step = leader.ledger_keeper.run_once
 
     def noticed() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    leader.ledger_keeper.step = noticed
-    world.held_for = (0.05, 6.0)
+    leader.ledger_keeper.run_once = noticed
+    world.late_request_delay_s = (0.05, 6.0)
     world.filter = lambda source, target, path: "held" if path == "/commit" and closing[0] else None
     world.run(25)
     numbers = [e["n"] for e in entries(world)]
@@ -297,7 +299,7 @@
     before = [e["n"] for e in entries(world)]
     world.run(3)
     leader.ledger_keeper._read_ended = ended
-    assert leader.ledger_keeper.state is keeper.Keeping.AWAY
+    assert leader.ledger_keeper.state is writer.WriterState.INACTIVE
     world.kill_node(leader.platform.node)
     world.run(6)
     numbers = [e["n"] for e in entries(world)]
@@ -312,7 +314,7 @@
     submit(world, run_s=25.0)
     old = world.leader_name()
     world.freeze(old, 8)
-    assert world.leader_name() != old or world.nodes[old].ledger_keeper.state is keeper.Keeping.KEEPING
+    assert world.leader_name() != old or world.nodes[old].ledger_keeper.state is writer.WriterState.ACTIVE
     world.run(5)
     owners = [e["by"].split()[0] for e in entries(world)]
     assert len(set(owners)) == 2
@@ -332,7 +334,7 @@
     """The nodes that saw it are all gone: its final record tells the next leader, by its revision."""
     world, account = ledgered(half_life=timedelta(minutes=5))
     for node in world.nodes.values():
-        node.ledger_keeper.step = lambda: None
+        node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 1, run_s=2.0)
     assert world.run(15, lambda: "e/j-1" in world.store.data)
     before = len(entries(world))
@@ -346,11 +348,11 @@
 def test_a_service_that_forgot_its_changes_is_read_again():
     world, account = ledgered()
     for node in world.nodes.values():
-        node.ledger_keeper.step = lambda: None
+        node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 3, run_s=2.0)
     assert world.run(15, lambda: "e/j-1" in world.store.data)
     world.fault("kill", "all", 1)
-    world.store.forget_changes()
+    world.store.compact()
     world.run(10)
     assert_equal(world, account)
 
@@ -439,7 +441,7 @@
 def test_the_last_job_of_a_day_is_closed_though_nothing_follows(run):
     """It ended sooner after a closing than the next was due, and was looked at again only once something changed."""
     world = World(machines=6, operators=operators(period=timedelta(seconds=20)))
-    account = Account(world.store, world.clock)
+    account = UsageObserver(world.store, world.clock)
     world.run(6)
     submit(world, run_s=run)
     assert world.run(60, lambda: world.poll("j-1") == "done")
@@ -469,9 +471,9 @@
         }
         assert leader.store.commit({}, {f"e/j-{n}": record}).revision
     world.run(150)
-    pages = [v[0] for k, v in world.store.data.items() if k.startswith(keeper.PAGE_PREFIX)]
+    pages = [v[0] for k, v in world.store.data.items() if k.startswith(writer.PAGE_PREFIX)]
     assert sum(len(p["teams"]) for p in pages) == 1000
-    assert total(entries(world)) == {f"team-{n:04d}": held(2.0, 0.0, 4.0, 1000 + n) for n in range(1000)}
+    assert total(entries(world)) == {f"team-{n:04d}": resource_time(2.0, 0.0, 4.0, 1000 + n) for n in range(1000)}
     asked = []
     world.filter = lambda source, target, path: asked.append(path) if "u%2F" in path else None
     world.kill_node(leader.platform.node)
@@ -483,12 +485,12 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_weeks_of_eight_teams_with_kills_freezes_and_outages(seed):
     """The shortened form of `benchmarks/ledger.py weeks`."""
-    proof = Weeks(seed, timedelta(days=4), day_speed=1440).play()
-    assert proof.ledger == proof.account
+    proof = LedgerSimulation(seed, timedelta(days=4), day_speed=1440).play()
+    assert proof.ledger == proof.observed_usage
     assert proof.replayed.fault is None
     assert proof.wrong == []
     assert proof.broken == []
-    assert (proof.faults > 3, proof.used > 20, len(proof.account) > 5) == (True, True, True)
+    assert (proof.faults > 3, proof.used > 20, len(proof.observed_usage) > 5) == (True, True, True)
 
 
 # -- commands -------------------------------------------------------------------------------
@@ -502,7 +504,7 @@
     books = written([(DAY, {"red": (10**9, 5)}), (DAY, {"blue": (0, 7)}), (DAY, {"blue": (9, 0)})])
     file = tmp_path / "usage.parquet"
     archive.write(file, books.base, books.entries)
-    assert archive.read(file) == Books(books.base, books.entries)
+    assert archive.read(file) == LedgerContents(books.base, books.entries)
     assert invoke("audit", "--file", str(file)).exit_code == 0
     shown = orjson.loads(invoke("show", "--file", str(file), "--json").stdout)
     assert set(shown["teams"]) == {"red", "blue"}
@@ -537,13 +539,13 @@
     store = world.leader().store
     books = reader.read(store)
     base = replay(books.base, books.entries[:-1]).base
-    assert reader.roll_up(store, base) == base.number
+    assert reader.compact(store, base) == base.number
     submit(world, "j-2", 4, crew="blue", run_s=4.0)
     world.run(25)
     rest = reader.read(store)
     assert rest.base.number == base.number
     assert audit(rest).fault is None
-    with pytest.raises(Malformed, match="were archived before"):
-        reader.roll_up(store, base)
+    with pytest.raises(LedgerError, match="were archived before"):
+        reader.compact(store, base)
     assert total(books.entries[:-1])["red"] + total(rest.entries)["red"] == account.by_team()["red"]
-    assert Balance() == Balance(Amounts(), 0, ONE)
+    assert Balance() == Balance(ResourceTime(), 0, FIXED_POINT_ONE)
--- a/tests/test_lone.py
+++ b/tests/test_lone.py
@@ -30,7 +30,7 @@
     if who == "one while another is rolled":
         world.run(3)
         world.kill_node(others[1])
-        world.later(4.0, lambda: world.start_node(others[1]))
+        world.run_after(4.0, lambda: world.start_node(others[1]))
     free = [n for n in world.node_names if n not in cut]
     assert world.run(12, lambda: {g.holder for n in free if world.nodes[n] for g in held(world, n)} <= set(free))
     world.run(6)
@@ -128,7 +128,7 @@
 def test_late_commit_of_the_process_before_changes_nothing():
     world = served()
     name = world.leader_name()
-    world.held_for = (3.0, 3.0)
+    world.late_request_delay_s = (3.0, 3.0)
     world.filter = lambda source, target, path: "held" if source == name and path == "/commit" else None
     world.submit("j-1", run_s=5.0, node=next(n for n in world.node_names if n != name))
     world.run(0.6)
--- a/tests/test_looks.py
+++ b/tests/test_looks.py
@@ -34,7 +34,7 @@
     assert world.submit("j-1", node="holdfast-0") == 201
     assert all(world.nodes[n].mirror.get("l/job/j-1") is None for n in others(world, "holdfast-0")), "no news yet"
     for _ in range(3):
-        assert world.look("j-1") == ["pending"] * 3
+        assert world.ask_all_nodes("j-1") == ["pending"] * 3
     assert world.broken == []
 
 
@@ -46,9 +46,9 @@
     assert world.abort("j-1", node="holdfast-1") == 200
     records = [n.mirror.get("l/job/j-1").value for n in world.nodes.values()]
     assert [bool(r.get("cancelled")) for r in records] == [False, True, False], "no news yet"
-    assert world.look("j-1") == ["withdrawn"] * 3
+    assert world.ask_all_nodes("j-1") == ["withdrawn"] * 3
     assert all(world.abort("j-1", node=name) == 200 for name in world.node_names)
-    assert set(world.told.values()) == {"withdrawn"}
+    assert set(world.last_told_state.values()) == {"withdrawn"}
     assert world.broken == []
 
 
@@ -70,9 +70,9 @@
     assert world.run(10, lambda: "e/j-1" in world.store.data)
     stale = [n for n in world.node_names if world.nodes[n].mirror.get("l/job/j-1") is not None]
     assert ended and set(stale) <= set(others(world, ended[0])), "others hold the record that is gone"
-    assert world.look("j-1") == [end] * 3
+    assert world.ask_all_nodes("j-1") == [end] * 3
     assert world.abort("j-1", node=stale[0] if stale else None) == 200
-    assert world.told["j-1"] == end
+    assert world.last_told_state["j-1"] == end
     assert world.broken == []
 
 
@@ -106,7 +106,7 @@
     answers = [world.nodes["holdfast-2"].intake.status(ref) for ref in ("j-1", "j-2", "j-3")]
     assert [(a.status, a.retry_after is not None) for a in answers] == [(503, True)] * 3
     for ref in ("j-1", "j-2", "j-3"):
-        world.look(ref)
+        world.ask_all_nodes(ref)
     assert world.broken == []
 
 
@@ -119,10 +119,10 @@
     before += idle
     for n in range(40):
         world.submit(f"j-{n}", run_s=1.0, cpus=0.5, crew="blue")
-        world.look(f"j-{n}")
+        world.ask_all_nodes(f"j-{n}")
         world.run(0.25)
     world.run(5)
-    assert {world.look(f"j-{n}")[0] for n in range(40)} == {"done"}
+    assert {world.ask_all_nodes(f"j-{n}")[0] for n in range(40)} == {"done"}
     each = (sum(n.store.requests for n in world.nodes.values()) - before - idle * 1.5) / 40
     assert each < 40, "two looks of six questions, and what runs the job"
     assert world.broken == []
@@ -141,10 +141,10 @@
     if offset:
         world.run(offset)
     asked = [world.abort("j-1", node=name) for name in world.node_names]
-    first = world.told["j-1"]
+    first = world.last_told_state["j-1"]
     assert 200 in asked and first in ("done", "withdrawn")
     for _ in range(30):
-        assert set(world.look("j-1")) <= {first, None}
+        assert set(world.ask_all_nodes("j-1")) <= {first, None}
         world.run(1)
     for name in world.node_names:
         world.kill_node(name)
@@ -209,23 +209,23 @@
 @pytest.mark.parametrize("changes", [30, 100])
 def test_a_stream_of_small_jobs_a_quarter_cancelled_leaves_nothing_behind(changes):
     world = served(machines=9, capacity=9, store=limits(changes))
-    before = world.store.applied
+    before = world.store.applied_changes
     refs = []
     for n in range(240):  # for a minute
         refs.append(ref := f"j-{n:03d}")
         if world.submit(ref, run_s=3.0, cpus=0.5, crew="blue") == 503:
-            world.later(1.0, lambda ref=ref: world.submit(ref, run_s=3.0, cpus=0.5, crew="blue"))
+            world.run_after(1.0, lambda ref=ref: world.submit(ref, run_s=3.0, cpus=0.5, crew="blue"))
         if n % 4 == 3:
-            world.later(0.1 + n % 7, lambda ref=ref: ref in world.told and world.abort(ref))
+            world.run_after(0.1 + n % 7, lambda ref=ref: ref in world.last_told_state and world.abort(ref))
         world.run(0.25)
     assert world.run(60, lambda: not [k for k in world.store.data if k.startswith(("l/job/", "l/run/", "l/sum/"))])
     told = {}
-    for ref in (r for r in refs if r in world.told):
+    for ref in (r for r in refs if r in world.last_told_state):
         told[ref] = world.poll(ref)
         world.run(0.1)  # as many questions a second as the service has room for
     assert len(told) > 220 and {*told.values()} == {"done", "withdrawn"}
     assert world.running() == []
     pages = [v for k, (v, *_) in world.store.data.items() if k.startswith(("l/over/", "l/hand/"))]
     assert sum(len(page) for page in pages) < 120, "rows of ended jobs leave when their page is written anew"
-    assert (world.store.applied - before) / len(told) < 7
+    assert (world.store.applied_changes - before) / len(told) < 7
     assert world.broken == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,7 +9,7 @@
 from traces import served, worker_of
 
 from kelpjunction.jobs.job_index import RUN_PREFIX, Phase, Placement
-from kelpjunction.lab.worker import OneWay
+from kelpjunction.lab.worker import MessageLoss
 from kelpjunction.lab.world import STORE, World, seconds
 from kelpjunction.transport import NoResponse, Reply
 from kelpjunction.wire.messages import TaskId, Verb
@@ -41,7 +41,7 @@
     def arrive(self) -> None:
         """What was held up arrives at last, and its sender has given it up."""
         for address, body in self.under_way:
-            self.world.cloud.at[address].handle("POST", "/commands", body)
+            self.world.cloud.workers_by_address[address].handle("POST", "/commands", body)
         self.go.set()
         gevent.sleep(0)
 
@@ -59,7 +59,10 @@
     if ends == "refused":
         address, body = holder.under_way[0]
         order = body["orders"][0]
-        world.cloud.at[address].tasks[order["frond"], order["launch"]] = {"tide": "exited", "cause": "full"}
+        world.cloud.workers_by_address[address].tasks[order["frond"], order["launch"]] = {
+            "tide": "exited",
+            "cause": "full",
+        }
     run(8)
     before = world.starts.count("j-1/0")
     holder.arrive()
@@ -217,7 +220,7 @@
     assert any(world.nodes[n].leadership.leader_term for n in world.node_names if n != old)
     world.cut_from_store = world.cut_from_peers = set()
     world.run(30, ask_both)
-    assert [world.told[f"j-{n}"] for n in (1, 2, 3, 4)] == ["done", "withdrawn", "withdrawn", "done"]
+    assert [world.last_told_state[f"j-{n}"] for n in (1, 2, 3, 4)] == ["done", "withdrawn", "withdrawn", "done"]
     assert asked > 100
     assert world.broken == []
 
@@ -233,14 +236,14 @@
     for name in lost:
         worker = world.cloud.machines[name][0]
         if how == "cut":
-            worker.cut = True
+            worker.partitioned = True
         else:
-            worker.one_way = OneWay(how)
+            worker.message_loss = MessageLoss(how)
     world.kill_node(world.leader_name())
     limit = world.times.lease + seconds(30)  # a grace, the notice that nobody leads, and the rounds
     assert world.run(limit.total_seconds(), lambda: world.leader() is not None and not _doubted(world, lost))
     for worker, _ in world.cloud.machines.values():
-        worker.cut, worker.one_way = False, None
+        worker.partitioned, worker.message_loss = False, None
     for name in world.node_names:
         if not world.runs(name):
             world.start_node(name)
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -13,7 +13,7 @@
 from kelpjunction.lab.world import SimClock, seconds
 from kelpjunction.metrics import Metrics
 from kelpjunction.recorder import DUMPS_APART, Recorder
-from kelpjunction.wire.messages import Cause, Report, TaskId, TaskReport, TaskState
+from kelpjunction.wire.messages import ExitCause, Report, TaskId, TaskReport, TaskState
 from kelpjunction.workers.events import Ground, Impossible, SessionBelieved, SessionChanged, Settled, StartSaid, Way
 from kelpjunction.workers.reachability import Evidence
 
@@ -34,7 +34,7 @@
     assert (start.task, start.attempt, start.way, start.session) == (TASK, 1, Way.DIRECT, 1)
     assert start.token == holder.blocks.own_token(holder.inventory.machines[start.machine].zone)
     assert start.version > 0
-    assert (end.task, end.attempt, end.machine, end.cause) == (TASK, 1, start.machine, Cause.DONE)
+    assert (end.task, end.attempt, end.machine, end.cause) == (TASK, 1, start.machine, ExitCause.DONE)
     assert end.ground is Ground.REPORTED_EXIT and end.sequence > start.sequence
     said = Metrics(holder).text().decode()
     assert 'kelpjunction_starts_said_total{way="direct"} 1.0' in said
@@ -65,7 +65,7 @@
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant(worker.zone))
     placement = holder.job_index.placement(TASK)
     placement.was_reported = True
-    holder.worker_registry.settle(placement, Cause.LOST, Ground.ABSENT, world.clock.now)
+    holder.worker_registry.settle(placement, ExitCause.MACHINE_LOST, Ground.ABSENT, world.clock.now)
     holder.job_index.settled.clear()
     holder.job_index._drop(placement)
     holder.worker_registry.probe(worker.name, worker.address)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 
 from kelpjunction.cli import main
 from kelpjunction.lab.scale.checker import Checker
-from kelpjunction.lab.scale.messages import Event, EventKind
+from kelpjunction.lab.scale.messages import EventKind, TaskEvent
 from kelpjunction.lab.scale.plan import ScaleError, load_plan
 from kelpjunction.lab.serving import machine_handle
 from kelpjunction.lab.world import World
@@ -113,12 +113,12 @@
     return checker
 
 
-def start(at: float, machine: str, frond: str = "j-1/0") -> Event:
-    return Event(at, EventKind.STARTED, machine, frond)
+def start(at: float, machine: str, frond: str = "j-1/0") -> TaskEvent:
+    return TaskEvent(at, EventKind.STARTED, machine, frond)
 
 
-def gone(at: float, machine: str, frond: str = "j-1/0", cause: str = "stopped") -> Event:
-    return Event(at, EventKind.EXITED, machine, frond, cause)
+def gone(at: float, machine: str, frond: str = "j-1/0", cause: str = "stopped") -> TaskEvent:
+    return TaskEvent(at, EventKind.EXITED, machine, frond, cause)
 
 
 def test_a_start_elsewhere_after_an_exit_that_is_told_later_breaks_nothing():
@@ -139,7 +139,7 @@
 
 def test_a_machine_that_lost_all_its_tasks_holds_none():
     checker = watched()
-    checker.told_upto("one", 3.0, [start(1.0, "n-1"), Event(2.0, EventKind.CLEARED, "n-1")])
+    checker.told_upto("one", 3.0, [start(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
     checker.told_upto("two", 9.0, [start(2.5, "n-2")])
     checker.told_upto("one", 9.0, [])
     assert (checker.broken, checker.running) == ([], 1)
@@ -178,4 +178,4 @@
         "invented: j-9",
         "forgotten: j-1 was accepted and is refused now",
     ]
-    assert checker.unsettled() == ["j-1"]
+    assert checker.unfinished_jobs() == ["j-1"]
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -116,10 +116,12 @@
 def test_rules_hold_under_a_random_schedule_of_faults(seed):
     world = Schedule(seed).play(check_indexes)
     assert world.broken == []
-    open_arrays = [r for r, t in world.told.items() if t == "accepted" and world.jobs[r]["shape"] != "service"]
+    open_arrays = [
+        r for r, t in world.last_told_state.items() if t == "accepted" and world.jobs[r]["shape"] != "service"
+    ]
     assert open_arrays == [], "everything accepted ends once the faults are over"
-    assert world.idle.left == {}, "nothing waits where there is room for it"
-    assert world.attendance.forgotten == {}
+    assert world.starvation_check.starved_jobs == {}, "nothing waits where there is room for it"
+    assert world.service_level_tracker.unanswered_jobs == {}
 
 
 def test_the_checker_notices_a_broken_rule():
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -70,7 +70,7 @@
     """As `WorkerStandIn.step` does it: everything is killed, and the next session begins."""
     worker.session += 1
     worker._clear()
-    worker.renewed = worker.world.clock.now
+    worker.lease_renewed_at = worker.world.clock.now
 
 
 def report_to(holder, worker: WorkerStandIn) -> tuple[int, dict]:
@@ -78,7 +78,7 @@
     fields, sent_at = worker.report(), worker.world.clock.now
     status, body = holder.check_in(orjson.dumps(fields))
     answer = orjson.loads(body)
-    worker.answered(fields, sent_at, status, answer)
+    worker.on_report_response(fields, sent_at, status, answer)
     return status, answer
 
 
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -12,13 +12,22 @@
 from hypothesis import strategies as st
 
 from kelpjunction.cli import main
-from kelpjunction.tickets import wire
-from kelpjunction.tickets.plan import MOST_TASKS, Amount, Order, Refused, Step, job_ref, plan, ticket_id
+from kelpjunction.tickets import job_template
+from kelpjunction.tickets.plan import (
+    MOST_TASKS,
+    Amount,
+    Step,
+    SubmissionOptions,
+    TicketRejected,
+    build_plan,
+    job_ref,
+    ticket_id,
+)
 from kelpjunction.wire import users
 
 ROOT = Path(__file__).resolve().parent.parent
 RUN = {"actions": {"onRun": {"command": "match", "args": ["{{Task.Param.Frame}}"]}}}
-ORDER = Order("red")
+ORDER = SubmissionOptions("red")
 
 
 def template(*steps: dict, **fields) -> dict:
@@ -34,15 +43,15 @@
 
 
 def read_text(text: bytes, parameters: dict[str, str]):
-    return wire.resolve(wire.document_of(text), parameters)
+    return job_template.resolve(job_template.parse_document(text), parameters)
 
 
 def faults(document, **parameters: str) -> list[str]:
     """Everything that is wrong with a ticket, each as a line."""
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(TicketRejected) as refused:
         name, steps = read(document, **parameters) if isinstance(document, dict) else read_text(document, {})
-        plan("t-1", name, steps, ORDER)
-    return [str(fault) for fault in refused.value.faults]
+        build_plan("t-1", name, steps, ORDER)
+    return [str(fault) for fault in refused.value.violations]
 
 
 # -- what a ticket becomes -------------------------------------------------------------
@@ -67,14 +76,14 @@
         step("fetch"),
     )
     name, steps = read(document)
-    made = plan("t-1", name, steps, ORDER)
+    made = build_plan("t-1", name, steps, ORDER)
     assert [j.name for j in made.jobs] == ["fetch", "match", "publish"]
     _, match, publish = made.jobs
-    assert (match.after, publish.after) == ((0,), (0, 1))
+    assert (match.depends_on, publish.depends_on) == ((0,), (0, 1))
     spec = match.spec
     assert (spec.cpus, spec.memory, spec.gpus) == (4.0, 8.0, 1.0)
     assert (spec.zone, spec.types) == ("regina", ("big-box", "photo-box"))
-    assert all(users.parse_job(users.submission(j.spec)) == j.spec for j in made.jobs), "as users submit them"
+    assert all(users.parse_job(users.fields_from_job(j.spec)) == j.spec for j in made.jobs), "as users submit them"
 
 
 def test_chunks_are_tasks():
@@ -197,16 +206,16 @@
             holder[key] = data.draw(st.one_of(st.none(), st.integers(-5, 10**12), st.text(max_size=5), st.just([{}])))
     try:
         name, steps = read_text(yaml.safe_dump(document).encode(), {})
-        made = plan("t-1", name, steps, ORDER)
-    except Refused as refused:
-        assert refused.faults
-        assert all(fault.rule for fault in refused.faults)
+        made = build_plan("t-1", name, steps, ORDER)
+    except TicketRejected as refused:
+        assert refused.violations
+        assert all(fault.rule for fault in refused.violations)
     else:
         assert len(made.jobs) == len(document["steps"]) >= 1
 
 
 def test_a_step_without_numbers_takes_what_the_order_says():
-    made = plan("t-1", "n", [Step("a", 1, amounts=(Amount("amount.worker.vcpu", Decimal(0), None),))], ORDER)
+    made = build_plan("t-1", "n", [Step("a", 1, amounts=(Amount("amount.worker.vcpu", Decimal(0), None),))], ORDER)
     assert (made.jobs[0].spec.cpus, made.jobs[0].spec.memory) == (1.0, 1.0)
 
 
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -51,7 +51,7 @@
     assert unheard.written == ["l/job/j-1"]
     for name in world.node_names if through == "others" else ("holdfast-0",):
         assert world.submit("j-1", run_s=60.0, node=name) == 200
-    assert set(world.look("j-1")) == {"pending"}
+    assert set(world.ask_all_nodes("j-1")) == {"pending"}
     assert world.run(10, lambda: world.starts == ["j-1/0"])
     assert world.broken == []
 
@@ -63,7 +63,7 @@
     unheard = Unheard(world, JOB_PREFIX)
     assert world.abort("j-1", node="holdfast-0") == 200
     assert unheard.written == ["l/job/j-1"]
-    assert world.look("j-1") == ["withdrawn"] * 3
+    assert world.ask_all_nodes("j-1") == ["withdrawn"] * 3
     assert world.run(5, lambda: world.running("j-1") == [])
     assert world.broken == []
 
@@ -73,12 +73,12 @@
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     world.filter = lambda source, target, path: "held" if path == "/commit" and source == "holdfast-0" else None
-    world.held_for = (5.0, 5.0)
+    world.late_request_delay_s = (5.0, 5.0)
     assert world.abort("j-1", node="holdfast-0") == 503
     world.filter = lambda *_: None
-    assert set(world.look("j-1")) == {"running"}
+    assert set(world.ask_all_nodes("j-1")) == {"running"}
     assert world.run(7, lambda: world.poll("j-1") == "withdrawn")
-    assert world.look("j-1") == ["withdrawn"] * 3
+    assert world.ask_all_nodes("j-1") == ["withdrawn"] * 3
     assert world.broken == []
 
 
@@ -159,7 +159,7 @@
     assert world.run(20, lambda: world.nodes[name].leadership.role is Role.FOLLOWER)
     assert len(lost) == 3
     world.run(15)
-    assert len(world.store.holds) == 3, "those that nobody knew of have ended"
+    assert len(world.store.leases) == 3, "those that nobody knew of have ended"
     assert world.broken == []
 
 
@@ -194,5 +194,5 @@
     world.submit("j-1", 20, crew="blue", run_s=5.0)
     assert world.run(40, lambda: world.poll("j-1") == "done")
     assert unheard.written
-    assert len(world.cloud.answers) <= 6 and len(world.cloud.machines) <= 6
+    assert len(world.cloud.rentals_by_request) <= 6 and len(world.cloud.machines) <= 6
     assert world.broken == []
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -37,7 +37,7 @@
     world = served(machines=1, capacity=1)
     for node in world.nodes.values():
         node.blocks.issue_new_tokens = lambda zones: False
-    world.held_for = (600.0, 600.0)
+    world.late_request_delay_s = (600.0, 600.0)
     world.filter = only("/commands held")
     world.submit("j-1", run_s=1.0)
     assert world.run(20, lambda: world.poll("j-1") == "done")
@@ -87,11 +87,11 @@
 
 def test_silent_worker_after_takeover_keeps_its_tasks_until_its_lease_has_ended():
     world = served(machines=2, capacity=2)
-    world.cloud.out = True
+    world.cloud.is_down = True
     world.submit("j-1", run_s=200.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
-    worker.cut = True
+    worker.partitioned = True
     world.kill_node(world.leader().platform.node)
     assert world.run(10, lambda: world.leader() is not None)
     world.run(60)
--- a/tests/test_wrong_jobs.py
+++ b/tests/test_wrong_jobs.py
@@ -42,7 +42,7 @@
 def test_machine_that_fails_honest_work_is_replaced_and_the_job_is_not_made_to_wait():
     world = served(machines=6, capacity=6)
     sick = next(iter(world.cloud.machines.values()))[0]
-    sick.sick = True
+    sick.fails_all_tasks = True
     for n in range(6):
         world.submit(f"j-{n}", 6, crew="blue", run_s=4.0, cpus=1.0)
     assert world.run(40, lambda: all(world.poll(f"j-{n}") == "done" for n in range(6)))
@@ -78,12 +78,12 @@
 def test_job_that_ends_well_once_more_is_not_wrong_any_longer():
     world = served(machines=3, capacity=3)
     for worker, _ in world.cloud.machines.values():
-        worker.sick = True
+        worker.fails_all_tasks = True
     world.submit("j-1", 12, crew="blue", run_s=1.0)
     world.run(8)
     assert world.leader().leader_scheduler._failure_attribution.is_failing_job(world.leader().job_index.jobs["j-1"])
     for worker, _ in world.cloud.machines.values():
-        worker.sick = False
+        worker.fails_all_tasks = False
     assert world.run(70, lambda: world.poll("j-1") == "done")
 
 
