--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 HEADERS = 310  # bytes of a check-in's request and answer beside their bodies, on the wire
 REPORT_S, POLL_S = 3.0, 5.0
 CHANGES_OF_TASK = 3  # reports that a task brings forward: begun, running, exited
-CHANGES_A_START = 0.5  # of the state service (benchmarks/changes.py)
+CHANGES_A_START = 0.5  # of the state service (benchmarks/store_changes.py)
 COMMANDS_A_START = 2  # a start, and half of the ends are stops
 COMMAND_BYTES = 700  # with the answer, which is a report
 POLLS_A_COMPARISON = 4  # polls that share one comparison with the state service
@@ -93,7 +93,7 @@
     return world
 
 
-class StandInTime:
+class StoreTimer:
     """Processor time that the stand-in of the state service takes, which is no node's."""
 
     def __init__(self, world) -> None:
@@ -119,7 +119,7 @@
 
 def measured(machines: int) -> dict[str, float]:
     """All figures at one size."""
-    from round import costs
+    from node_calls import call_costs
 
     world = world_of(machines)
     found: dict[str, float] = {"tasks running": len(world.starts)}
@@ -129,7 +129,7 @@
     found[MEMORY] = _memory(world)
     worker = next(w for w, _ in world.cloud.machines.values() if len(w.tasks) >= TASKS_EACH - 1)
     found["bytes of a check-in"] = len(orjson.dumps(worker.report())) + HEADERS
-    stand_in, leader = StandInTime(world), world.leader()
+    stand_in, leader = StoreTimer(world), world.leader()
     fields = dict(world.job("j-200000"))
 
     def submit(number: int) -> None:
@@ -140,7 +140,7 @@
     leader.leadership.run_once()
     leader.watch_store()
     calls = {"check-in": "us", "poll": "us", "followed change": "us"}
-    for name, value in costs(world).items():
+    for name, value in call_costs(world).items():
         found[f"{name}, us" if name in calls else f"{name}, ms"] = value if name in calls else value / 1e3
     return found
 
@@ -195,9 +195,9 @@
 
 def exchanges() -> tuple[float, float]:
     """Microseconds that an HTTP exchange costs a node beside its call: a poll, a check-in."""
-    from exchange import Handler, cost
+    from http_exchange import Handler, seconds_per_exchange
 
-    return cost(Handler, b"", 2000) * 1e6, cost(Handler, b"x" * 1200, 2000) * 1e6
+    return seconds_per_exchange(Handler, b"", 2000) * 1e6, seconds_per_exchange(Handler, b"x" * 1200, 2000) * 1e6
 
 
 class Row(NamedTuple):
--- a/benchmarks/exchange.py
+++ b/benchmarks/http_exchange.py
@@ -1,6 +1,6 @@
 """What an HTTP exchange costs this node beside gevent's handler as it comes: ratios in one run.
 
-    python benchmarks/exchange.py [--count N]
+    python benchmarks/http_exchange.py [--count N]
 
 One handler serves requests that wait in a socket pair, so that nothing but
 the handler's work is timed (processor time, microseconds an exchange).
@@ -20,7 +20,7 @@
 HEADERS = "Host: 10.0.0.1:8080\r\nUser-Agent: users/1.0\r\nAccept: */*\r\nConnection: keep-alive\r\n"
 
 
-class Stock(WSGIHandler):
+class StockHandler(WSGIHandler):
     """The handler as it comes, without access log."""
 
     def log_request(self) -> None:
@@ -40,7 +40,7 @@
     return f"POST /checkin HTTP/1.1\r\n{HEADERS}{length}\r\n".encode() + body
 
 
-def cost(handler_class, body: bytes, count: int) -> float:
+def seconds_per_exchange(handler_class, body: bytes, count: int) -> float:
     """Seconds of processor time an exchange takes."""
     ours, theirs = gevent.socket.socketpair()
     server = SimpleNamespace(application=application, get_environ=dict, log=None, loop=gevent.get_hub().loop)
@@ -68,8 +68,8 @@
 @click.option("--count", default=20_000, show_default=True)
 def main(count: int) -> None:
     for name, body in (("poll", b""), ("check-in of 300 bytes", b"x" * 300), ("check-in of 4 KiB", b"x" * 4096)):
-        cost(Handler, body, BATCH * 4)
-        was, now = (cost(kind, body, count) * 1e6 for kind in (Stock, Handler))
+        seconds_per_exchange(Handler, body, BATCH * 4)
+        was, now = (seconds_per_exchange(kind, body, count) * 1e6 for kind in (StockHandler, Handler))
         click.echo(f"{name:24} stock {was:6.1f} us   ours {now:6.1f} us   ratio {now / was:.2f}")
 
 
--- a/benchmarks/round.py
+++ b/benchmarks/node_calls.py
@@ -1,4 +1,4 @@
-"""What a node's work costs as the fleet grows: `python benchmarks/round.py [--against REVISION]`.
+"""What a node's work costs as the fleet grows: `python benchmarks/node_calls.py [--against REVISION]`.
 
 Runs one world for each size on the stand-ins and times a node's calls, without
 HTTP, in microseconds of processor time.  With `--against`, the sources of an
@@ -15,6 +15,7 @@
 
 import click
 import orjson
+from earlier_names import name_as_today
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = (120, 240, 700, 2000)
@@ -43,7 +44,7 @@
     return world
 
 
-def costs(world) -> dict[str, float]:
+def call_costs(world) -> dict[str, float]:
     """The calls of one node in a world that is at work."""
     leader = world.leader()
     leader.leader_scheduler._dispatch_interval = timedelta()  # each of its rounds looks for room
@@ -106,7 +107,8 @@
         import kelpjunction
 
         kelpjunction.__path__.append(str(ROOT / "kelpjunction"))
-        sys.stdout.buffer.write(orjson.dumps(costs(filled(only))))
+        name_as_today()
+        sys.stdout.buffer.write(orjson.dumps(call_costs(filled(only))))
         return
     with tempfile.TemporaryDirectory() as folder:
         old = Path(folder) / "old"
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -19,6 +19,7 @@
 
 import click
 import orjson
+from earlier_names import name_as_today
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = (500, 1000, 2125, 8500)
@@ -72,7 +73,7 @@
     return views
 
 
-def choice(views: list):
+def selection_and_undo(views: list):
     """What a job's machines are chosen from, and how to undo a choice."""
     try:
         from kelpjunction.placement import FreeCapacityIndex
@@ -88,7 +89,7 @@
     """What one job costs, choosing and giving back."""
     from kelpjunction.placement import place, place_gang
 
-    choose_from, mark = choice(views)
+    choose_from, mark = selection_and_undo(views)
 
     def undo(job, chosen: list) -> None:
         for view in chosen:
@@ -153,6 +154,7 @@
 
 
 def figures() -> Iterator[tuple[int, dict[str, float]]]:
+    name_as_today()
     for size in SIZES:
         yield size, placed(fleet(size)) | (rounds(size) if size in ROUND_SIZES else {})
 
--- a/benchmarks/changes.py
+++ b/benchmarks/store_changes.py
@@ -1,4 +1,4 @@
-"""What work costs the state service: `python benchmarks/changes.py [--against REVISION]`.
+"""What work costs the state service: `python benchmarks/store_changes.py [--against REVISION]`.
 
 Plays a minute of services, arrays and gangs on the stand-ins at a tenth, one
 and ten times a fleet, in proportion to it, with a service that refuses nothing,
--- a/tests/schedules.py
+++ b/tests/fault_schedules.py
@@ -5,29 +5,36 @@
 from kelpjunction.lab.worker import MessageLoss
 from kelpjunction.lab.world import STORE, World, seconds
 
-ODD = ({"crew": "nobody"}, {"cpus": 9.0}, {"fronds": 0}, {"shape": None}, {"ram_gb": True}, {"shape": "ensemble"})
+INVALID_FIELDS = (
+    {"crew": "nobody"},
+    {"cpus": 9.0},
+    {"fronds": 0},
+    {"shape": None},
+    {"ram_gb": True},
+    {"shape": "ensemble"},
+)
 
 
-class Schedule:
+class FaultSchedule:
     """Random jobs, cancellations and faults; the world checks the rules."""
 
     def __init__(self, seed: int, interleaved: bool = False) -> None:
         self.world = World(seed=seed, machines=6, capacity=9, interleaved=interleaved)
         self.random = self.world.random
         self.refs: list[str] = []
-        self.loss = self.late_writes = self.unheard = 0.0
-        self.slow = self.looking = False
-        self.watched: set[str] = set()  # tasks of which each that ends may be called off at that moment
+        self.message_loss_rate = self.delayed_commit_rate = self.lost_response_rate = 0.0
+        self.slow = self.poll_all_nodes = False
+        self.jobs_to_cancel_at_end: set[str] = set()  # tasks of which each that ends may be called off at that moment
         self.world.filter = self._fate
         self.pause: tuple[str, float] | None = None  # a node that stands still at a request it sends soon
         self.world.pause_before_request = self._pause
 
     def _fate(self, source: str, target: str, path: str) -> str | None:
-        if path == "/commit" and self.random.random() < self.late_writes:
+        if path == "/commit" and self.random.random() < self.delayed_commit_rate:
             return "held"
-        if path == "/commit" and self.random.random() < self.unheard:
+        if path == "/commit" and self.random.random() < self.lost_response_rate:
             return "answer lost"
-        if self.random.random() >= self.loss:
+        if self.random.random() >= self.message_loss_rate:
             return None
         return self.random.choice(["held", "lost", "answer lost"])
 
@@ -95,11 +102,11 @@
 
     def _late_writes(self) -> None:
         """Some transactions get no answer and are carried out after newer ones."""
-        self.late_writes = 0.0 if self.late_writes else 0.2
+        self.delayed_commit_rate = 0.0 if self.delayed_commit_rate else 0.2
 
     def _unheard(self) -> None:
         """Some transactions are carried out at once, and only their answers are lost."""
-        self.unheard = 0.0 if self.unheard else 0.2
+        self.lost_response_rate = 0.0 if self.lost_response_rate else 0.2
 
     def _hang(self) -> None:
         """A machine stands still, for less than its lease or for longer."""
@@ -121,27 +128,27 @@
 
     def _cancel_at_end(self) -> None:
         """Of the tasks that end from now on, some jobs are called off at that very moment."""
-        self.watched = set() if self.watched else set(self.refs)
+        self.jobs_to_cancel_at_end = set() if self.jobs_to_cancel_at_end else set(self.refs)
 
     def _at_ends(self) -> bool:
         """Called each moment: call off what has just ended its last task."""
         for frond in sorted(self.world.finished):
             ref = frond.partition("/")[0]
-            if ref in self.watched and not self.world._unfinished(ref):
-                self.watched.discard(ref)
+            if ref in self.jobs_to_cancel_at_end and not self.world._unfinished(ref):
+                self.jobs_to_cancel_at_end.discard(ref)
                 if self.random.random() < 0.5:
                     self._abort_job(ref)
         return False
 
     def _close_looks(self) -> None:
         """From now on all nodes are asked at once about each job that was accepted or called off."""
-        self.looking = not self.looking
+        self.poll_all_nodes = not self.poll_all_nodes
 
     def _odd(self) -> None:
         """Submissions that can never be taken, repeats of all that is known, and an end that is called off."""
         if self._deaf_to_users():
             return
-        odd = self.random.choice(ODD)
+        odd = self.random.choice(INVALID_FIELDS)
         fields = {"cpus": 2.0, "fronds": 21} | odd
         status = self.world.submit("j-999999", fields.pop("fronds"), **fields)
         assert status in (400, 422, 503, None), (odd, status)
@@ -165,7 +172,7 @@
         return not any(self.world.nodes.values())
 
     def _abort_job(self, ref: str) -> None:
-        if not self._deaf_to_users() and self.world.abort(ref) == 200 and self.looking:
+        if not self._deaf_to_users() and self.world.abort(ref) == 200 and self.poll_all_nodes:
             self.world.ask_all_nodes(ref)
 
     def _submit(self) -> None:
@@ -188,7 +195,7 @@
         status = self.world.submit(ref, tasks, **fields)
         if status in (200, 201, 503):
             self.refs.append(ref)
-        if status == 201 and self.looking:
+        if status == 201 and self.poll_all_nodes:
             self.world.ask_all_nodes(ref)
 
     def _abort(self) -> None:
@@ -213,10 +220,10 @@
         self.world.cut_from_store = self.world.cut_from_peers = set()
         self.world.duplicate_reports = lambda worker: []
         self.world.store.outage(False)
-        self.loss = self.late_writes = self.unheard = 0.0
+        self.message_loss_rate = self.delayed_commit_rate = self.lost_response_rate = 0.0
         self.slow = False
         self.world.reports_for_next_leader = None
-        self.watched = set()
+        self.jobs_to_cancel_at_end = set()
         for worker, _ in self.world.cloud.machines.values():
             worker.partitioned, worker.message_loss = False, None
 
@@ -271,7 +278,7 @@
             worker.notice_at = self.world.clock.now + seconds(10)
 
     def _noise(self) -> None:
-        self.loss = 0.15
+        self.message_loss_rate = 0.15
 
     def _recover(self) -> None:
         self._heal()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,7 +15,7 @@
 _OUTCOMES = pytest.StashKey[dict[str, str]]()
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
     """One line: a test by its id, why it fails, and the issue that is to mend it."""
 
     test: str
@@ -23,7 +23,7 @@
     issue: str
 
 
-def listed(text: str) -> list[Red]:
+def parse_list(text: str) -> list[KnownFailure]:
     """The lines of the list; raises `ValueError`, which says what is wrong with which line."""
     reds = []
     for number, line in enumerate(text.splitlines(), start=1):
@@ -32,7 +32,7 @@
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             raise ValueError(f"{LISTED_IN}, line {number}: must read 'file::test | cause | issue', not {line!r}")
-        reds.append(Red(*parts))
+        reds.append(KnownFailure(*parts))
     if len(reds) > MOST:
         raise ValueError(f"{LISTED_IN}: {len(reds)} tests are listed, {MOST} at most: mend one first")
     return reds
@@ -42,7 +42,7 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     path = Path(config.rootpath, LISTED_IN)
     try:
-        reds = listed(path.read_text()) if path.exists() else []
+        reds = parse_list(path.read_text()) if path.exists() else []
     except ValueError as error:
         raise pytest.UsageError(str(error)) from error
     config.stash[_OUTCOMES] = dict.fromkeys((red.test for red in reds), "not run")
--- a/tests/plain_placement.py
+++ b/tests/reference_placement.py
@@ -21,7 +21,7 @@
 from kelpjunction.wire.messages import JobSpec, Shape
 
 
-def _dear(spec: JobSpec, views: list[MachineView], budget: PriceLimit) -> set[str]:
+def _expensive_machines(spec: JobSpec, views: list[MachineView], budget: PriceLimit) -> set[str]:
     """Which of these machines cost several times the least; each kind of machine is reckoned once."""
     if budget is NO_PRICE_LIMIT:
         return set()
@@ -50,21 +50,21 @@
     count: int,
     views: Iterable[MachineView],
     zones: Counter,
-    mates: Counter,
+    tasks_by_machine: Counter,
     budget: PriceLimit = NO_PRICE_LIMIT,
 ) -> list[MachineView]:
     """Machines for up to `count` tasks of an array or service, one entry a task.
 
-    `zones` and `mates` count the job's tasks by zone and machine; both are
+    `zones` and `tasks_by_machine` count the job's tasks by zone and machine; both are
     brought up to date, as are the views.
     """
     usable = _usable(spec, views)
-    dear = _dear(spec, usable, budget)
+    dear = _expensive_machines(spec, usable, budget)
     if budget.exclude_expensive:
         usable = [v for v in usable if v.name not in dear]
     if spec.shape is Shape.SERVICE:
-        return _spread_out(spec, count, usable, zones, mates, dear)
-    return _fill_up(spec, count, usable, zones, mates, dear)
+        return _spread_out(spec, count, usable, zones, tasks_by_machine, dear)
+    return _fill_up(spec, count, usable, zones, tasks_by_machine, dear)
 
 
 def _fill_up(
@@ -230,7 +230,7 @@
     )
 
 
-def make_room(
+def plan_preemptions(
     spec: JobSpec,
     count: int,
     views: Iterable[MachineView],
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from dataclasses import dataclass, field
 
-from schedules import Schedule
+from fault_schedules import FaultSchedule
 
 from kelpjunction.lab.world import World, seconds
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class SeedResult:
     """What a seed left behind; clean if nothing."""
 
     seed: int
@@ -29,7 +29,7 @@
     contradictions: list[str] = field(default_factory=list)
 
     @classmethod
-    def of(cls, seed: int, world: World) -> "Outcome":
+    def of(cls, seed: int, world: World) -> "SeedResult":
         told = {ref for ref, state in world.last_told_state.items() if state == "accepted"}
         return cls(
             seed,
@@ -42,15 +42,15 @@
 
     @property
     def clean(self) -> bool:
-        return self == Outcome(self.seed)
+        return self == SeedResult(self.seed)
 
 
-def play_schedule(seed: int) -> Outcome:
+def play_schedule(seed: int) -> SeedResult:
     """A random schedule of faults, its exchanges interleaved."""
-    return Outcome.of(seed, Schedule(seed, interleaved=True).play(lambda world: None))
+    return SeedResult.of(seed, FaultSchedule(seed, interleaved=True).play(lambda world: None))
 
 
-def play_restarts(seed: int, rounds: int = 20) -> Outcome:
+def play_restarts(seed: int, rounds: int = 20) -> SeedResult:
     """Controllers end, one or all, and return; workers' sessions end meanwhile, and their reports find other nodes."""
     world = World(seed=seed, machines=12, capacity=15, interleaved=True)
     random = world.random
@@ -80,7 +80,7 @@
         if job["shape"] == "service":
             world.abort(ref)  # what they fill is for the rest, which is to end
     _recover(world)
-    return Outcome.of(seed, world)
+    return SeedResult.of(seed, world)
 
 
 def _recover(world: World, duration: float = 200.0) -> None:
@@ -92,7 +92,7 @@
             world.poll(ref)
 
 
-def play(seed: int) -> Outcome:
+def play_seed(seed: int) -> SeedResult:
     """One seed of the long run: each tenth plays restarts."""
     return play_restarts(seed) if seed % 10 == 0 else play_schedule(seed)
 
@@ -106,9 +106,9 @@
     given = options.parse_args()
     first, end = (int(part) for part in given.seeds.split(":"))
     stop_at = time.monotonic() + 60 * given.minutes
-    outcomes: list[Outcome] = []
+    outcomes: list[SeedResult] = []
     with ProcessPoolExecutor(given.processes) as pool:
-        waiting = [pool.submit(play, seed) for seed in range(first, end)]
+        waiting = [pool.submit(play_seed, seed) for seed in range(first, end)]
         for done in as_completed(waiting):
             if done.cancelled():
                 continue
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -1,13 +1,13 @@
 """Who holds a block, under which token, and what a holder out of touch does (points 5 and 6 of docs/design.md)."""
 
 import orjson
-from traces import served, zone_of
+from traces import ready_world, zone_of
 
 # Tokens
 
 
 def test_every_grant_takes_a_higher_token_and_a_lower_one_is_refused():
-    world = served()
+    world = ready_world()
     dead = world.leader().platform.node
     before = {z: (g.holder, g.token) for z, g in world.leader().blocks.grants.items()}
     world.kill_node(dead)
@@ -20,8 +20,8 @@
         assert (holder, token) == before[zone] or token > newest
 
 
-def test_worker_refuses_a_holder_that_was_superseded():
-    world = served()
+def test_superseded_holder_stops_answering_check_ins():
+    world = ready_world()
     worker = next(w for w, _ in world.cloud.machines.values() if w.zone == "b")
     old = next(n for n in world.nodes.values() if n.blocks.own_grant("b"))
     report = orjson.dumps(worker.report())
@@ -43,7 +43,7 @@
 
 
 def test_leader_cut_from_the_store_stops_renewing_in_time_for_a_cancellation():
-    world = served()
+    world = ready_world()
     world.submit("j-1", 3, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     old = world.leader()
@@ -61,7 +61,7 @@
 
 
 def test_services_live_through_an_outage_of_the_store():
-    world = served()
+    world = ready_world()
     world.submit("j-1", 3, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     before = world.running("j-1")
@@ -75,7 +75,7 @@
 
 def test_holder_that_reaches_no_worker_gives_its_blocks_up_and_gets_them_back():
     """Found by an incident: a controller cut from the workers kept its blocks until their leases had ended."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", urgency="prod", cpus=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 6)
     before = world.running("j-1")
@@ -98,7 +98,7 @@
 
 
 def test_blocks_are_spread_over_the_live_nodes_and_follow_their_deaths():
-    world = served()
+    world = ready_world()
     world.run(5)
     assert sorted(len(n.blocks.held_zones()) for n in world.nodes.values()) == [1, 1, 1]
     dead = next(n for n, node in world.nodes.items() if node is not world.leader())
@@ -110,7 +110,7 @@
 
 
 def test_services_restart_in_their_block_while_nobody_leads():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 3, shape="service", urgency="prod", apart=True)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     leader = world.leader()
@@ -127,9 +127,9 @@
     assert world.broken == []
 
 
-def test_token_that_a_holder_took_itself_is_no_new_beginning_whichever_way_it_hears_of_it():
+def test_own_token_raise_keeps_block_state():
     """News often overtake the answer; all that is known of the workers would be asked for again each time."""
-    world = served()
+    world = ready_world()
     node = world.leader()
     zone = node.blocks.held_zones()[0]
     known, since = dict(node.worker_registry.workers), node.blocks.own_grant(zone).since
--- a/tests/test_lab.py
+++ b/tests/test_cli_and_scenarios.py
@@ -78,7 +78,7 @@
 JOB = {"at_s": 6, "ref": "j-1", "team": "red", "shape": "array", "tasks": 9, "cpus": 2, "memory": 4, "seconds": 15}
 
 
-def playing(*faults: tuple, **kwargs) -> Player:
+def player_with_faults(*faults: tuple, **kwargs) -> Player:
     """A player of one job and these faults: (at_s, do, target, seconds)."""
     listed = [dict(zip(("at_s", "do", "target", "seconds"), fault, strict=True)) for fault in faults]
     return Player(World(machines=6, **kwargs), {"until_s": 120, "job": [JOB], "fault": listed})
@@ -91,20 +91,22 @@
 )  # fmt: skip
 def test_each_fault_of_a_scenario_is_survived(do, target):
     """With all nodes killed, users meet refused connections until one is back; `leader` names whoever leads."""
-    player = playing((12, do, target, 6))
+    player = player_with_faults((12, do, target, 6))
     assert player.play(), player.problems()
     ended = player.summary()["jobs"]["j-1"]["took_s"]
     assert ended > 15
 
 
 def test_with_no_node_left_users_are_refused_and_told_so():
-    player = playing((2, "kill", "all", 0))
+    player = player_with_faults((2, "kill", "all", 0))
     assert not player.play()
     assert player.problems() == ["j-1: not accepted"]
 
 
 def test_a_fault_that_cannot_be_now_is_told():
-    player = playing((12, "kill", "holdfast-0", 0), (14, "kill", "holdfast-0", 0), (16, "start", "holdfast-1", 0))
+    player = player_with_faults(
+        (12, "kill", "holdfast-0", 0), (14, "kill", "holdfast-0", 0), (16, "start", "holdfast-1", 0)
+    )
     assert not player.play()
     assert player.problems() == [
         "fault at 14 s, kill holdfast-0: holdfast-0 does not run",
@@ -114,18 +116,20 @@
         World().fault("freeze", "leader", 1)
 
 
-def test_the_seed_moves_a_run_and_repeats_it():
+def test_run_differs_by_seed_and_repeats_for_same_seed():
     """Six seeds gave six equal runs: a seed that moves nothing proves nothing."""
     summaries = []
     for seed in (1, 2, 3, 1):
-        player = playing((12, "kill", "leader", 6), seed=seed, network_conditions=NetworkConditions(loss_rate=0.01))
+        player = player_with_faults(
+            (12, "kill", "leader", 6), seed=seed, network_conditions=NetworkConditions(loss_rate=0.01)
+        )
         assert player.play(), player.problems()
         summaries.append(player.summary())
     assert summaries[0] == summaries[3]
     assert len({orjson.dumps(summary) for summary in summaries}) == 3
 
 
-class Nobody:
+class ScriptedTransport:
     """A transport that keeps a script of answers, and what was asked."""
 
     def __init__(self, *answers) -> None:
@@ -141,14 +145,16 @@
 
 def test_the_next_node_is_asked_until_an_answer_counts():
     caller = RetryingClient("a:1,b:1", 60, pause=lambda s: None)
-    caller._transport = Nobody(NoResponse("no"), Reply(503, {}), Reply(429, {}), Reply(404, {"error": "no such job"}))
+    caller._transport = ScriptedTransport(
+        NoResponse("no"), Reply(503, {}), Reply(429, {}), Reply(404, {"error": "no such job"})
+    )
     assert caller.ask("GET", "/api/jobs/j-1").status == 404
     assert caller._transport.asked == ["a:1", "b:1", "a:1", "b:1"]
 
 
 def test_exit_code_3_says_what_to_do_when_nothing_listens(capsys):
     caller = RetryingClient("a:1", 0, pause=lambda s: None)
-    caller._transport = Nobody()
+    caller._transport = ScriptedTransport()
     with pytest.raises(SystemExit) as ended:
         caller.ask("GET", "/api/jobs/j-1")
     assert ended.value.code == 3
--- a/tests/test_crossings.py
+++ b/tests/test_concurrent_faults.py
@@ -1,7 +1,7 @@
 """Meetings of limits, cancellations, hanging machines and changes of leader; each asserts that the two did meet."""
 
 import pytest
-from traces import served, worker_of, zone_of
+from traces import ready_world, worker_of, zone_of
 
 from kelpjunction.clock import seconds
 from kelpjunction.jobs.job_index import Phase
@@ -23,7 +23,7 @@
     return old
 
 
-def keep_machines(world: World) -> None:
+def disable_machine_returns(world: World) -> None:
     """Let no silent machine be returned: what is on it ends by its lease alone."""
     for node in world.nodes.values():
         node.machine_monitor._looks_partitioned = lambda zone: True
@@ -33,7 +33,7 @@
     return [worker for worker, _ in world.cloud.machines.values()]
 
 
-def used(world: World, team: str) -> float:
+def used_cpus(world: World, team: str) -> float:
     owners = (world.job(frond.partition("/")[0]) for frond, _ in world.running())
     return sum(job["cpus"] for job in owners if job["crew"] == team)
 
@@ -45,15 +45,15 @@
 @pytest.mark.parametrize("shape", ["batch", "service", "ensemble"])
 def test_all_teams_at_their_limits_while_jobs_on_lost_machines_are_cancelled_and_the_leader_changes(how, shape):
     """The room of what may still run is given to nobody, and to somebody as soon as it surely does not."""
-    world = served(machines=9, capacity=12, teams=LIMITED)
+    world = ready_world(machines=9, capacity=12, teams=LIMITED)
     fields = KINDS[shape]
     for team in ("red", "blue"):
         world.submit(f"j-1{team == 'red':d}", 3, run_s=400.0, crew=team, **fields)
-    assert world.run(20, lambda: used(world, "red") == used(world, "blue") == 6.0)
+    assert world.run(20, lambda: used_cpus(world, "red") == used_cpus(world, "blue") == 6.0)
     for team in ("red", "blue"):
         world.submit(f"j-2{team == 'red':d}", 3, run_s=400.0, crew=team)
         world.submit(f"j-3{team == 'red':d}", 3, run_s=4.0, crew=team)
-    assert world.run(20, lambda: used(world, "red") == used(world, "blue") == 12.0)
+    assert world.run(20, lambda: used_cpus(world, "red") == used_cpus(world, "blue") == 12.0)
     lost = {worker_of(world, f"j-1{t}/{n}") for t in "01" for n in range(3)}
     for worker in lost:
         if how == "hang":
@@ -71,7 +71,7 @@
     world.start_node(old)
     limit = (world.times.lease + seconds(30)).total_seconds()
     assert world.run(limit, lambda: world.poll("j-30") == world.poll("j-31") == "done"), "their room was kept for long"
-    assert max(used(world, "red"), used(world, "blue")) <= 12.0
+    assert max(used_cpus(world, "red"), used_cpus(world, "blue")) <= 12.0
     for worker in workers(world):
         worker.partitioned, worker.message_loss = False, None
     world.run(30)
@@ -82,10 +82,10 @@
 @pytest.mark.parametrize("twice", [False, True])
 def test_a_team_at_its_limit_whose_machines_can_not_be_asked_when_the_leader_changes(twice):
     """A cancellation falls into the spell, and what its room is for waits until the machines are known again."""
-    world = served(machines=6, capacity=6, teams=LIMITED)
+    world = ready_world(machines=6, capacity=6, teams=LIMITED)
     world.submit("j-1", 6, run_s=400.0)
     world.submit("j-2", 3, run_s=5.0)
-    assert world.run(15, lambda: used(world, "red") == 12.0)
+    assert world.run(15, lambda: used_cpus(world, "red") == 12.0)
     lost = {worker_of(world, f"j-1/{n}") for n in range(6)}
     world.filter = lambda source, target, path: (
         "lost" if path in ("/status", "/commands") or source in {w.name for w in lost} else None
@@ -110,7 +110,7 @@
 )
 @pytest.mark.parametrize("shape", ["batch", "ensemble"])
 def test_jobs_cancelled_in_the_seconds_in_which_a_block_changes_hands(moment, shape):
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     fields = KINDS[shape]
     for n in range(6):
         world.submit(f"j-{n}", 2, run_s=300.0, cpus=0.5, bay="abc"[n % 3], **fields)
@@ -166,8 +166,8 @@
 @pytest.mark.parametrize("what", ["nothing else", "the leader changes", "an outage", "the holder is cut off"])
 def test_a_cancelled_task_on_a_machine_that_hangs_and_goes_on_is_gone_in_time(hang, what):
     """Within its lease it goes on where it stood, and hears the stop that waited; behind it, it has nothing left."""
-    world = served(machines=6, capacity=6)
-    keep_machines(world)
+    world = ready_world(machines=6, capacity=6)
+    disable_machine_returns(world)
     world.submit("j-1", 3, run_s=300.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     hung = {worker_of(world, f"j-1/{n}") for n in range(3)}
@@ -192,9 +192,9 @@
     assert world.broken == []
 
 
-def test_a_hang_longer_than_the_lease_takes_the_tasks_with_it_and_they_run_elsewhere_no_sooner():
-    world = served(machines=6, capacity=6)
-    keep_machines(world)
+def test_task_of_hung_machine_restarts_only_after_lease_end():
+    world = ready_world(machines=6, capacity=6)
+    disable_machine_returns(world)
     world.submit("j-1", run_s=30.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("moment", ["while it saves", "with its machine out of reach"])
 def test_a_task_that_is_saving_when_its_job_is_cancelled_saves_no_longer(shape, moment):
     """Found by reading: it was told once how long it may save, which nothing shortened; here longer than cancel_s."""
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 2, shape=shape, run_s=300.0, mark_s=5.0, stow_s=90.0, cpus=1.0)
     assert world.run(20, lambda: len(world.running("j-1")) == 2)
     world.run(4)
@@ -240,7 +240,7 @@
 
 @pytest.mark.parametrize("writes", ["in time", "late", "unheard"])
 def test_machines_up_within_two_seconds_get_work_while_writes_lag_and_the_leader_ends(writes):
-    world = served(machines=1, capacity=8)
+    world = ready_world(machines=1, capacity=8)
     world.cloud.boot = seconds(1.5)
     rented: list[float] = []
     handle = world.cloud.handle
@@ -273,7 +273,7 @@
 @pytest.mark.parametrize("forgetful", ["none", "one", "all"])
 @pytest.mark.parametrize("age", ["before its tasks", "while they ran", "of an earlier session"])
 def test_an_old_report_reaches_every_controller_just_as_a_new_leader_begins(age, forgetful):
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     if age == "before its tasks":
         world.reports_for_next_leader = []
         world.run(3)
@@ -320,7 +320,7 @@
 
 @pytest.mark.parametrize("outage", [False, True])
 def test_leaders_change_ten_times_in_two_minutes(outage):
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     world.submit("j-2", 9, run_s=60.0, cpus=0.5)
     world.submit("j-3", 3, run_s=40.0, cpus=0.5, **GANG)
@@ -350,7 +350,7 @@
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     world.submit("j-2", 6, run_s=30.0, cpus=0.5)
     world.submit("j-3", 4, run_s=300.0, cpus=0.5)
@@ -371,7 +371,7 @@
 @pytest.mark.parametrize("length", [12.0, 25.0, 60.0])
 def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(length):
     """Inside it goes on by itself for as long as the rule on cancellations lets it; then its leases end."""
-    world = served(machines=9, capacity=12)
+    world = ready_world(machines=9, capacity=12)
     world.submit("j-1", 6, shape="service", cpus=1.0, apart=True)
     world.submit("j-2", 6, run_s=20.0, cpus=1.0)
     world.submit("j-3", 3, run_s=300.0, cpus=1.0)
@@ -401,7 +401,7 @@
 @pytest.mark.parametrize("shape", ["batch", "ensemble", "service"])
 def test_jobs_bound_to_a_zone_lose_their_machines(shape):
     """What is rented instead is rented there, and not a task starts elsewhere."""
-    world = served(machines=6, capacity=9)
+    world = ready_world(machines=6, capacity=9)
     fields = KINDS[shape]
     world.submit("j-1", 4, run_s=20.0, bay="b", crew="blue", **fields)
     world.submit("j-2", 4, run_s=20.0, together=True, crew="blue", **fields)
@@ -418,8 +418,8 @@
     assert world.broken == []
 
 
-def test_more_work_than_room_urgent_and_not_over_slow_links():
-    world = served(
+def test_overload_over_slow_links_finishes_all_jobs():
+    world = ready_world(
         machines=3, capacity=3, network_conditions=NetworkConditions(delay_range_s=(0.3, 2.5), loss_rate=0.02)
     )
     for n in range(24):
@@ -438,7 +438,7 @@
 @pytest.mark.parametrize("slow", [False, True])
 @pytest.mark.parametrize("first", [2.0, 12.0])
 def test_the_state_service_refuses_the_leader_then_all_while_users_cancel_and_ask(first, slow):
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     answered = []
 
     def wait(source, target, path):
@@ -474,9 +474,9 @@
     assert world.broken == []
 
 
-def test_workers_that_reach_no_controller_answer_questions_and_lose_nothing_but_their_leases():
+def test_workers_that_cannot_send_still_execute_stops():
     """Mute machines: direct commands reach them, their reports and answers reach nobody."""
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     world.submit("j-1", 4, run_s=300.0)
     world.submit("j-2", 3, shape="service", cpus=1.0)
     assert world.run(10, lambda: len(world.running()) == 7)
--- a/tests/test_looks.py
+++ b/tests/test_concurrent_users.py
@@ -2,8 +2,8 @@
 
 import orjson
 import pytest
-from test_budget import limits
-from traces import served
+from test_write_rate_limiter import store_limits_for_rate
+from traces import ready_world
 
 from kelpjunction.lab.world import World
 from kelpjunction.settings import Team
@@ -15,7 +15,7 @@
 }  # fmt: skip
 
 
-def lagging(world: World, *names: str) -> None:
+def stop_following(world: World, *names: str) -> None:
     """Let nodes hear no news: their copies stay as they are until they are read anew."""
     for name in names:
         world.nodes[name].mirror.watch_once = lambda: None
@@ -29,8 +29,8 @@
 
 
 def test_all_nodes_know_a_job_within_milliseconds_of_its_acceptance():
-    world = served()
-    lagging(world, *world.node_names)
+    world = ready_world()
+    stop_following(world, *world.node_names)
     assert world.submit("j-1", node="holdfast-0") == 201
     assert all(world.nodes[n].mirror.get("l/job/j-1") is None for n in others(world, "holdfast-0")), "no news yet"
     for _ in range(3):
@@ -39,10 +39,10 @@
 
 
 def test_all_nodes_call_a_job_cancelled_within_milliseconds_of_the_confirmation():
-    world = served()
+    world = ready_world()
     world.submit("j-1", 2, run_s=60.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
-    lagging(world, *world.node_names)
+    stop_following(world, *world.node_names)
     assert world.abort("j-1", node="holdfast-1") == 200
     records = [n.mirror.get("l/job/j-1").value for n in world.nodes.values()]
     assert [bool(r.get("cancelled")) for r in records] == [False, True, False], "no news yet"
@@ -53,9 +53,9 @@
 
 
 @pytest.mark.parametrize("end", ["done", "withdrawn"])
-def test_all_nodes_tell_the_end_between_the_jobs_record_going_and_its_end_being_read(end):
+def test_all_nodes_report_end_before_mirrors_catch_up(end):
     """Who ended it knows; all others hold the job's record still, or miss both."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", 2, run_s=3.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     if end == "withdrawn":
@@ -76,9 +76,9 @@
     assert world.broken == []
 
 
-def test_an_answer_that_was_compared_before_the_end_is_not_sent_after_it():
+def test_status_verified_before_cancellation_is_not_sent_after():
     """Two questions at one node: the one that was compared first waits for its turn while the job ends."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     node = world.nodes["holdfast-0"]
@@ -95,8 +95,8 @@
     assert world.broken == []
 
 
-def test_a_node_without_the_state_service_tells_nothing_older_but_503():
-    world = served()
+def test_node_without_store_answers_503_not_stale_state():
+    world = ready_world()
     for ref in ("j-1", "j-2"):
         world.submit(ref, run_s=60.0)
     assert world.run(10, lambda: len(world.running()) == 2)
@@ -110,9 +110,9 @@
     assert world.broken == []
 
 
-def test_what_looks_cost_in_requests():
+def test_store_requests_per_polled_job_are_bounded():
     """Four jobs a second, each looked at on all nodes when it is accepted and when it is done."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     before = sum(n.store.requests for n in world.nodes.values())
     world.run(10)
     idle = sum(n.store.requests for n in world.nodes.values()) - before
@@ -133,8 +133,8 @@
 
 @pytest.mark.parametrize("shape", ["batch", "ensemble"])
 @pytest.mark.parametrize("offset", [0.0, 0.1, 0.2, 0.3, 0.4, 0.6, 1.2])
-def test_a_cancellation_that_meets_the_end_has_one_answer_for_ever(shape, offset):
-    world = served()
+def test_cancellation_racing_job_end_has_one_final_state(shape, offset):
+    world = ready_world()
     fields = {"mark_s": 5.0, "stow_s": 1.0} if shape == "ensemble" else {}
     world.submit("j-1", 2, shape=shape, run_s=4.0, cpus=0.5, **fields)
     assert world.run(20, lambda: world._unfinished("j-1") == [] and {"j-1/0", "j-1/1"} <= world.finished)
@@ -178,8 +178,8 @@
         ({"shape": "service", "fronds": 21}, 422, "limit"),
     ],
 )  # fmt: skip
-def test_a_submission_that_can_not_be_is_refused_by_every_node_and_named(change, status, named):
-    world = served()
+def test_invalid_submission_is_refused_by_every_node(change, status, named):
+    world = ready_world()
     fields = {k: v for k, v in (GOOD | change).items() if v is not None}
     for name in world.node_names:
         for _ in range(2):
@@ -193,12 +193,12 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"7", b"{", b'{"cpus": NaN}', b'{"ref": "j-1", "cpus": 1e999}', b"\xff"])
-def test_what_is_no_object_of_numbers_is_malformed(body):
-    assert served().nodes["holdfast-0"].intake.submit(body).status == 400
+def test_malformed_submission_body_gets_400(body):
+    assert ready_world().nodes["holdfast-0"].intake.submit(body).status == 400
 
 
 def test_one_task_that_is_larger_than_its_teams_limit_can_never_run():
-    world = served(teams=(Team("red", 2.0, 0.0, 4.0, None),))
+    world = ready_world(teams=(Team("red", 2.0, 0.0, 4.0, None),))
     assert world.submit("j-1", cpus=4.5) == 422
     assert world.submit("j-2", 9, cpus=4.0) == 201
 
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("changes", [30, 100])
 def test_a_stream_of_small_jobs_a_quarter_cancelled_leaves_nothing_behind(changes):
-    world = served(machines=9, capacity=9, store=limits(changes))
+    world = ready_world(machines=9, capacity=9, store=store_limits_for_rate(changes))
     before = world.store.applied_changes
     refs = []
     for n in range(240):  # for a minute
--- a/tests/test_pages.py
+++ b/tests/test_dispatch_records.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 import pytest
-from test_schedules import loaded_anew
-from traces import served
+from test_random_fault_schedules import reloaded_job_index
+from traces import ready_world
 
 from kelpjunction.changes import ChangeTracker
 from kelpjunction.jobs.dispatch import DispatchBatch
@@ -13,7 +13,7 @@
 from kelpjunction.lab.world import World
 
 
-def leading_without_holders(world: World) -> dict:
+def stop_holder_rounds(world: World) -> dict:
     """Let nobody start anything; returns the holders' rounds."""
     rounds = {name: node.holder_scheduler.round for name, node in world.nodes.items()}
     for node in world.nodes.values():
@@ -21,15 +21,15 @@
     return rounds
 
 
-def resume(world: World, rounds: dict) -> None:
+def resume_holder_rounds(world: World, rounds: dict) -> None:
     for name, node in world.nodes.items():
         if node is not None:
             node.holder_scheduler.round = rounds[name]
 
 
-def test_many_jobs_are_handed_over_for_a_page_or_two():
-    world = served(machines=12, capacity=12)
-    leading_without_holders(world)
+def test_many_jobs_are_dispatched_in_few_pages():
+    world = ready_world(machines=12, capacity=12)
+    stop_holder_rounds(world)
     for n in range(20):
         world.submit(f"j-{n}", 2, cpus=0.5, ram_gb=1.0, crew="blue")
     before = world.store.revision
@@ -39,9 +39,9 @@
     assert all(k.startswith(DISPATCH_PREFIX) for k in written)
 
 
-def test_a_holder_is_woken_by_what_is_handed_to_it():
+def test_dispatch_page_wakes_holder():
     """Found by reading: hand-overs came in by a key that woke nobody, so that starts waited for another event."""
-    world = served()
+    world = ready_world()
     other = next(n for n in world.nodes.values() if n is not world.leader())
     for key in (f"{DISPATCH_PREFIX}service/0", f"{SETTLED_PREFIX}a"):
         other.wake.clear()
@@ -49,9 +49,9 @@
         assert other.wake.is_set()
 
 
-def test_a_row_is_void_once_its_chunk_was_written_without_it_and_its_task_is_handed_anew():
-    world = served()
-    rounds = leading_without_holders(world)
+def test_dispatch_row_is_void_after_chunk_write_and_task_is_redispatched():
+    world = ready_world()
+    rounds = stop_holder_rounds(world)
     world.submit("j-1", 1, run_s=5.0)
     holder = next(iter(world.nodes.values()))
     assert world.run(5, lambda: holder.job_index.jobs["j-1"].counts.dispatched == 1)
@@ -60,14 +60,14 @@
     leader = world.leader()
     leader.watch_store()
     assert leader.job_index.jobs["j-1"].pending_count() == 1
-    resume(world, rounds)
+    resume_holder_rounds(world, rounds)
     assert world.run(20, lambda: world.poll("j-1") == "done")
     assert world.starts == ["j-1/0"]
 
 
 def test_a_launch_by_a_row_that_is_void_fails():
-    world = served()
-    rounds = leading_without_holders(world)
+    world = ready_world()
+    rounds = stop_holder_rounds(world)
     world.submit("j-1", 1, run_s=5.0)
     assert world.run(5, lambda: all(n.job_index.jobs["j-1"].counts.dispatched for n in world.nodes.values()))
     zone = next(world.leader().job_index.jobs["j-1"].unstarted_dispatches())[1].zone
@@ -79,9 +79,9 @@
     assert world.starts == []
 
 
-def test_a_new_leader_keeps_what_was_handed_over_before():
-    world = served()
-    rounds = leading_without_holders(world)
+def test_new_leader_keeps_earlier_dispatches():
+    world = ready_world()
+    rounds = stop_holder_rounds(world)
     world.submit("j-1", 4, run_s=5.0)
     assert world.run(5, lambda: all(n.job_index.jobs["j-1"].counts.dispatched == 4 for n in world.nodes.values()))
     zones = {h.zone for _, h in world.leader().job_index.jobs["j-1"].unstarted_dispatches()}
@@ -89,15 +89,15 @@
     assert world.run(10, lambda: world.leader() is not None)
     world.run(2)
     assert {h.zone for _, h in world.leader().job_index.jobs["j-1"].unstarted_dispatches()} == zones
-    resume(world, rounds)
+    resume_holder_rounds(world, rounds)
     assert world.run(30, lambda: world.poll("j-1") == "done")
     assert sorted(world.starts) == [f"j-1/{n}" for n in range(4)]
 
 
-def test_a_page_of_unknown_outcome_is_fenced_before_its_tasks_are_handed_elsewhere():
-    world = served()
+def test_unknown_dispatch_write_is_fenced_before_redispatch():
+    world = ready_world()
     leader = world.leader()
-    rounds = leading_without_holders(world)
+    rounds = stop_holder_rounds(world)
     world.submit("j-1", 2, shape="service", urgency="prod", apart=True)
     leader.watch_store()
     world.filter = lambda source, target, path: "held" if path == "/commit" and source == leader.platform.node else None
@@ -108,13 +108,13 @@
     version = world.store.data[page][1]
     world.deliver_late()
     assert world.store.data[page][1] == version, "it came too late to count"
-    resume(world, rounds)
+    resume_holder_rounds(world, rounds)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     assert world.broken == []
 
 
-def test_a_row_that_lags_does_not_start_a_chunk_anew_that_was_folded_away():
-    world = served(machines=9, capacity=9)
+def test_stale_dispatch_row_does_not_restart_folded_chunk():
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 3 * CHUNK_TASKS, run_s=3.0, cpus=1.0, ram_gb=0.5, crew="blue")
     book = world.leader().job_index
     assert world.run(60, lambda: "j-1" not in book.jobs or bool(book.jobs["j-1"].folded_chunks))
@@ -125,11 +125,11 @@
     assert list(job.unstarted_dispatches()) == [] or all(
         t.index // CHUNK_TASKS != number for t, _ in job.unstarted_dispatches()
     )
-    loaded = loaded_anew(world)
+    loaded = reloaded_job_index(world)
     assert all(t.index // CHUNK_TASKS != number for t, _ in loaded.jobs["j-1"].unstarted_dispatches())
 
 
-def test_what_was_handed_over_of_a_chunk_goes_with_its_folding():
+def test_folding_a_chunk_removes_its_dispatches():
     """A node that loads reads the pages first and the sums last."""
     book = JobIndex(ChangeTracker())
     fields = {"ref": "j-1", "stripe": "c", "crew": "red", "shape": "batch", "urgency": "low", "fronds": 2 * CHUNK_TASKS}
@@ -142,10 +142,10 @@
     assert book.jobs["j-1"].counts == (CHUNK_TASKS, 0, 0)
 
 
-def test_a_launch_fails_if_its_chunk_was_done_and_folded_away_since_it_was_handed_over():
+def test_launch_fails_if_chunk_was_folded_after_dispatch():
     """The chunk has no record before and after: only the sum tells the two apart."""
-    world = served(machines=9, capacity=9)
-    rounds = leading_without_holders(world)
+    world = ready_world(machines=9, capacity=9)
+    rounds = stop_holder_rounds(world)
     world.submit("j-1", 2 * CHUNK_TASKS, run_s=3.0, cpus=0.5, ram_gb=0.5, crew="blue")
     assert world.run(5, lambda: all(n.job_index.jobs["j-1"].counts.dispatched for n in world.nodes.values()))
     zone = next(world.leader().job_index.jobs["j-1"].unstarted_dispatches())[1].zone
@@ -155,8 +155,8 @@
     assert world.starts == []
 
 
-def test_rows_leave_their_page_once_the_chunk_was_written():
-    world = served(machines=6)
+def test_settled_rows_leave_page_after_chunk_write():
+    world = ready_world(machines=6)
     world.submit("j-1", 6, run_s=2.0, crew="blue")
     world.submit("j-2", 12, run_s=1.0, crew="blue")
     assert world.run(60, lambda: world.poll("j-1") == world.poll("j-2") == "done")
@@ -171,8 +171,8 @@
     assert book.jobs["j-3"].done_count() == 1
 
 
-def test_results_are_told_by_a_page_and_outlive_their_holder():
-    world = served(machines=6)
+def test_settled_page_results_survive_holder_loss():
+    world = ready_world(machines=6)
     world.submit("j-1", 9, run_s=2.0, crew="blue")
     world.submit("j-2", 1, run_s=100.0, crew="blue")
     assert world.run(10, lambda: len(world.running("j-1")) == 9)
@@ -184,7 +184,7 @@
     assert world.run(10, lambda: first.done_count() == 9)
     assert any(k.startswith(SETTLED_PREFIX) and v[0] for k, v in world.store.data.items())
     assert world.store.data[run_key("j-1", 0)][0]["d"] == 0, "the chunk's record was not written for it"
-    assert loaded_anew(world).jobs["j-1"].done_count() == 9
+    assert reloaded_job_index(world).jobs["j-1"].done_count() == 9
     for node, finished in zip(world.nodes.values(), held, strict=True):
         node.holder_scheduler._finished = finished
         del node.leader_scheduler.round
@@ -196,7 +196,7 @@
 
 
 def test_a_page_that_grows_too_long_is_folded_into_the_chunks():
-    world = served(machines=12, capacity=12)
+    world = ready_world(machines=12, capacity=12)
     node = world.leader()
     for n in world.nodes.values():
         n.store.limits = replace(n.store.limits, value_bytes=700)
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("named", [False, True])
-def test_hand_overs_find_room_on_pages_and_keep_what_still_holds(named):
+def test_dispatch_pages_split_and_keep_valid_rows(named):
     book = JobIndex(ChangeTracker())
     fields = {"crew": "red", "shape": "batch", "fronds": 64, "cpus": 1.0, "ram_gb": 1.0, "bundle": "i", "image_gb": 1.0}
     spec = {"stripe": "c", "urgency": "low", "expect_s": 1.0} | fields
--- a/tests/test_costs.py
+++ b/tests/test_event_costs.py
@@ -7,14 +7,14 @@
 from collections import Counter
 
 import pytest
-from traces import served, worker_of
+from traces import ready_world, worker_of
 
 from kelpjunction.clock import seconds
 
 
-def counted(machines: int) -> tuple[Counter, Counter]:
+def count_messages_and_views(machines: int) -> tuple[Counter, Counter]:
     """Commands that nodes send, transactions applied and views made, from a job's submission until it is done."""
-    world = served(machines=machines, capacity=machines)
+    world = ready_world(machines=machines, capacity=machines)
     world.run(20)
     messages: Counter = Counter()
     views: Counter = Counter()
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("machines", [6, 48])
 def test_a_job_of_one_task_costs_the_same_on_any_fleet(machines):
-    messages, views = counted(machines)
+    messages, views = count_messages_and_views(machines)
     assert messages["/commands"] == 1, "its start is sent once, directly"
     # Submission, hand-over, launch, end, and the machine's image; two snapshots of deficits may fall in.
     assert messages["transactions"] <= 7
@@ -54,7 +54,7 @@
 
 
 def test_a_round_without_a_change_makes_no_view():
-    world = served(machines=12)
+    world = ready_world(machines=12)
     world.submit("j-1", tasks=4, run_s=600.0)
     world.run(15)
     leader = world.leader()
--- a/tests/test_wrong_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -2,15 +2,15 @@
 
 import logging
 
-from traces import served
+from traces import ready_world
 
 from kelpjunction.jobs.failure_attribution import MAX_RETRY_BACKOFF
 
 
-def test_wrong_array_is_tried_ever_more_rarely_and_costs_nobody_anything(caplog):
+def test_failing_array_is_retried_with_backoff_and_rents_nothing(caplog):
     """Found in a log: each holder tried a wrong array on its own, and dear machines were rented for it."""
     caplog.set_level(logging.INFO)
-    world = served(machines=6, capacity=30)
+    world = ready_world(machines=6, capacity=30)
     world.submit("j-1", 100, wrong=True, crew="blue")
     world.run(10)
     first = len(world.starts)
@@ -28,9 +28,9 @@
     assert world.broken == []
 
 
-def test_wrong_jobs_do_not_condemn_the_machines_they_share(caplog):
+def test_failing_jobs_do_not_mark_machines_faulty(caplog):
     caplog.set_level(logging.INFO)
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     for n in range(4):
         world.submit(f"j-{n}", 6, wrong=True, crew="blue")
     world.run(60)
@@ -39,8 +39,8 @@
     assert world.run(20, lambda: world.poll("j-9") == "done")
 
 
-def test_machine_that_fails_honest_work_is_replaced_and_the_job_is_not_made_to_wait():
-    world = served(machines=6, capacity=6)
+def test_faulty_machine_is_replaced_without_delaying_jobs():
+    world = ready_world(machines=6, capacity=6)
     sick = next(iter(world.cloud.machines.values()))[0]
     sick.fails_all_tasks = True
     for n in range(6):
@@ -50,7 +50,7 @@
 
 
 def test_evidence_against_a_job_outlives_its_leader_and_its_holders():
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     world.submit("j-1", 30, wrong=True, crew="blue")
     world.run(40)
     for name in list(world.nodes):
@@ -63,8 +63,8 @@
     assert len(world.starts) - before <= 5, "each new leader begins with the shortest pause, at one task a try"
 
 
-def test_wrong_gang_keeps_no_machines_from_others():
-    world = served(machines=3, capacity=3)
+def test_failing_gang_does_not_block_machines():
+    world = ready_world(machines=3, capacity=3)
     gang = {"shape": "ensemble", "cpus": 8.0, "crew": "blue", "mark_s": 5.0, "stow_s": 1.0}
     world.submit("j-1", 3, wrong=True, **gang)
     world.run(30)
@@ -75,8 +75,8 @@
     assert world.run(15, lambda: world.poll("j-3") == "done"), "an honest one passes it"
 
 
-def test_job_that_ends_well_once_more_is_not_wrong_any_longer():
-    world = served(machines=3, capacity=3)
+def test_job_that_succeeds_again_is_no_longer_failing():
+    world = ready_world(machines=3, capacity=3)
     for worker, _ in world.cloud.machines.values():
         worker.fails_all_tasks = True
     world.submit("j-1", 12, crew="blue", run_s=1.0)
@@ -87,9 +87,9 @@
     assert world.run(70, lambda: world.poll("j-1") == "done")
 
 
-def test_machine_is_shunned_no_longer_than_the_job_that_speaks_against_it_lives():
+def test_machine_suspicion_ends_with_failing_job():
     """Found by reading: a machine stayed shunned after the only job that had failed on it was cancelled."""
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     holder = next(n for n in world.nodes.values() if n.machine_monitor.mine())
     machine = holder.machine_monitor.mine()[0]
     world.submit("j-1", wrong=True, bay=machine.zone)
--- a/tests/test_meetings.py
+++ b/tests/test_fault_interactions.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 from gevent.event import Event
-from traces import served, worker_of
+from traces import ready_world, worker_of
 
 from kelpjunction.jobs.job_index import RUN_PREFIX, Phase, Placement
 from kelpjunction.lab.worker import MessageLoss
@@ -15,7 +15,7 @@
 from kelpjunction.wire.messages import TaskId, Verb
 
 
-class Held:
+class HeldCommands:
     """Direct commands of one node that are under way until they are let go; they arrive all the same, then."""
 
     def __init__(self, world: World, name: str) -> None:
@@ -49,8 +49,8 @@
 @pytest.mark.parametrize("ends", ["done", "refused"])
 def test_start_that_is_held_up_until_after_its_attempt_was_forgotten(ends):
     """The worker was told to start by the answer to a report, and the task ended, before the start sent to it came."""
-    world = served()
-    held = [Held(world, name) for name in world.node_names]
+    world = ready_world()
+    held = [HeldCommands(world, name) for name in world.node_names]
     world.submit("j-1", run_s=0.1)
     run = held[0].run
     while not any(h.under_way for h in held):
@@ -72,9 +72,9 @@
     assert world.broken == []
 
 
-def _one_under_way(world: World) -> tuple[Held, Placement]:
+def _start_in_flight(world: World) -> tuple[HeldCommands, Placement]:
     """A start that its holder has sent and that has not come, of a task that no report has listed."""
-    held = [Held(world, name) for name in world.node_names]
+    held = [HeldCommands(world, name) for name in world.node_names]
     world.submit("j-1", run_s=20.0)
     while not any(h.under_way for h in held):
         held[0].run(0.1)
@@ -82,10 +82,10 @@
     return holder, world.nodes[holder.name].job_index.placement(TaskId("j-1", 0))
 
 
-def test_absence_does_not_settle_what_a_start_under_way_may_still_bring():
+def test_unlisted_task_is_not_settled_while_start_in_flight():
     """It was stopped meanwhile; were it settled, it would be placed anew, and the start would come after all."""
-    world = served()
-    holder, placement = _one_under_way(world)
+    world = ready_world()
+    holder, placement = _start_in_flight(world)
     holder.roster.stop(placement, seconds(0), "a service needs its room")
     worker = holder.roster.workers[placement.machine]
     assert holder.roster.probe(worker.machine, worker.address)
@@ -96,9 +96,9 @@
     assert world.broken == []
 
 
-def test_start_that_waits_for_its_turn_is_a_stop_by_then_if_it_must_be():
-    world = served()
-    holder, placement = _one_under_way(world)
+def test_queued_start_becomes_stop_if_stopped_meanwhile():
+    world = ready_world()
+    holder, placement = _start_in_flight(world)
     turns, sent = [], []
     holder.roster._spawn = lambda *turn: turns.append(turn)
     holder.roster._post = lambda worker, token, session, commands: sent.append((session, commands)) or True
@@ -111,8 +111,8 @@
 
 def test_command_is_for_one_session():
     """One that names the wrong session is not executed; one that named the right one would start what is over."""
-    world = served()
-    holder, placement = _one_under_way(world)
+    world = ready_world()
+    holder, placement = _start_in_flight(world)
     later = replace(placement, task=TaskId("j-1", 1), session=placement.session + 1)
     sent = []
     holder.roster._post = lambda worker, token, session, commands: sent.append((session, len(commands))) or True
@@ -121,11 +121,11 @@
     assert sent == [(placement.session, 1), (later.session, 1)]
 
 
-def test_block_that_comes_back_while_a_command_is_under_way_counts_it_right():
+def test_unanswered_command_count_survives_block_regain():
     """The count of what is under way began anew with the block, and what ended later made it less than nothing."""
-    world = served()
+    world = ready_world()
     name = world.leader_name()
-    held = Held(world, name)
+    held = HeldCommands(world, name)
     world.submit("j-1", 6, run_s=30.0)
     while not held.under_way:
         held.run(0.1)
@@ -144,7 +144,7 @@
 
 def test_member_key_written_late_does_not_undo_the_newer_one():
     """A node's first word on itself is held up; it comes after the next one, with a hold that ends soon."""
-    world = served()
+    world = ready_world()
     name = next(n for n in world.node_names if n != world.leader_name())
     key = f"l/node/{name}"
     _, version, hold = world.store.data[key]
@@ -182,7 +182,7 @@
 
 def test_chunk_of_a_job_that_is_not_known_yet_is_not_swept():
     """A leader deletes what ended jobs left behind; a job whose news have not come in has not ended."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     leader = world.leader()
@@ -194,7 +194,7 @@
 
 def test_lone_leader_and_the_new_one_answer_the_same_users():
     """Jobs are finished, cancelled and submitted through the new leader; whoever is asked tells nothing older."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     old = world.leader_name()
     other = next(n for n in world.node_names if n != old)
     world.submit("j-1", 3, run_s=8.0)
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize("how", ["cut", "deaf", "unanswered"])
 def test_leader_ends_while_machines_with_long_tasks_are_not_reached(how):
     """Nothing starts twice, no limit is overshot, and no task stays in doubt for longer than leases force."""
-    world = served(machines=9, capacity=12)
+    world = ready_world(machines=9, capacity=12)
     world.submit("j-1", 18, run_s=70.0)  # all that its team may have at once, and more
     world.submit("j-2", 2, shape="ensemble", run_s=60.0, mark_s=5.0, stow_s=1.0, crew="blue")
     assert world.run(10, lambda: len(world.running()) == 20)
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize("leaders", [1, 2])
 def test_small_jobs_end_far_apart_across_changes_of_leader(shape, leaders):
     """Two or three tasks, of which one ends under the first leader and the others under later ones."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     refs = [f"j-{n}" for n in range(6)]
     for number, ref in enumerate(refs):
         fields = {"shape": shape, "mark_s": 5.0, "stow_s": 1.0} if shape == "ensemble" else {}
@@ -293,10 +293,10 @@
 
 
 @pytest.mark.parametrize("how", ["all keys are read", "one key is read alone"])
-def test_block_that_was_anothers_for_a_while_begins_anew_though_its_holder_saw_nothing_of_that(how):
+def test_regained_block_resets_lease_times_though_loss_was_unseen(how):
     """It came back before the news did, so nothing of the time between came in: leases that others renewed meanwhile
     were reckoned to have ended long ago, and all that ran there was started once more."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 9, shape="service", cpus=0.5)
     assert world.run(10, lambda: len(world.running("j-1")) == 9)
     name = next(n for n in world.node_names if n != world.leader_name())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,13 +1,13 @@
 """Machines that die, are cut off or come back from nowhere; dealings with the cloud."""
 
 import orjson
-from traces import served, worker_of
+from traces import ready_world, worker_of
 
 from kelpjunction.lab.world import seconds
 
 
 def test_machine_that_does_not_answer_is_returned_and_its_tasks_run_elsewhere():
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
@@ -19,7 +19,7 @@
 
 def test_report_that_a_cut_held_up_does_not_bring_a_returned_machine_back():
     """Found by an incident: a cut zone's late reports made machines of it that were gone look up again."""
-    world = served()
+    world = ready_world()
     worker = next(iter(world.cloud.machines.values()))[0]
     late = orjson.dumps(worker.report())
     worker.alive = False
@@ -32,7 +32,7 @@
 
 def test_machines_of_a_cut_zone_are_not_returned_one_after_the_other():
     """Found by an incident: reports stop within some seconds of one another, so the first looked like deaths."""
-    world = served(machines=15, capacity=15)
+    world = ready_world(machines=15, capacity=15)
     cut = [w for w, _ in world.cloud.machines.values() if w.zone == "b"]
     for n, worker in enumerate(cut):
         worker.next_report += seconds(0.4 * n)
@@ -45,9 +45,9 @@
     assert all(m.usable for m in world.leader().inventory.machines.values())
 
 
-def test_cloud_is_not_asked_for_machines_that_no_record_can_tell_of():
+def test_no_rental_requests_during_store_outage():
     """Found in a log: a leader asked twice a second for the same machines all through an outage of the store."""
-    world = served(machines=2, capacity=2)
+    world = ready_world(machines=2, capacity=2)
     world.cloud.is_down = True
     world.submit("j-1", 40)
     assert world.run(10, lambda: world.store.data.get("l/cloud", ({},))[0].get("rent"))
--- a/tests/test_room.py
+++ b/tests/test_free_capacity_index.py
@@ -4,8 +4,8 @@
 from dataclasses import replace
 from datetime import timedelta
 
-import plain_placement as plain
 import pytest
+import reference_placement as plain
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -94,29 +94,29 @@
 )
 
 
-def fresh(fields: list[dict]) -> list[MachineView]:
+def make_views(fields: list[dict]) -> list[MachineView]:
     return [
         MachineView(**f | {"images": set(f["images"]), "fetching_images": set(f["fetching_images"])}) for f in fields
     ]
 
 
-def indexed(views: list[MachineView]) -> FreeCapacityIndex:
+def build_index(views: list[MachineView]) -> FreeCapacityIndex:
     room = FreeCapacityIndex(views)
     for view in views:
         view.on_write = room.mark_dirty
     return room
 
 
-def state(views) -> list[tuple]:
+def capacity_state(views) -> list[tuple]:
     return sorted((v.name, v.cpus, v.gpus, v.memory, v.tasks, sorted(v.fetching_images)) for v in views)
 
 
 @settings(max_examples=200)
 @given(machines(), asked)
-def test_arrays_and_services_go_where_a_look_at_every_machine_sends_them(fields, wanted):
+def test_index_places_arrays_and_services_like_full_scan(fields, wanted):
     """One index serves several jobs in turn, each of which changes the room that the next finds."""
-    looked_at, kept = fresh(fields), fresh(fields)
-    room = indexed(kept)
+    looked_at, kept = make_views(fields), make_views(fields)
+    room = build_index(kept)
     by_name = {v.name: v for v in kept}
     for spec, count, budget, mates in wanted:
         here = {name: n for name, n in mates.items() if name in by_name}
@@ -128,14 +128,14 @@
         chosen = place(spec, count, room.select_all(), told[2], told[3], budget)
         assert [v.name for v in chosen] == [v.name for v in expected]
         assert (told[2], told[3]) == (told[0], told[1])
-        assert state(kept) == state(looked_at)
+        assert capacity_state(kept) == capacity_state(looked_at)
 
 
 @settings(max_examples=100)
 @given(machines(), asked, st.sets(st.sampled_from([f"n-{n:02}" for n in range(16)])), st.sets(st.sampled_from(ZONES)))
-def test_a_narrower_choice_is_one_from_fewer_machines(fields, wanted, without, zones):
-    looked_at, kept = fresh(fields), fresh(fields)
-    room = indexed(kept)
+def test_filtered_selection_places_like_full_scan(fields, wanted, without, zones):
+    looked_at, kept = make_views(fields), make_views(fields)
+    room = build_index(kept)
     for spec, count, budget, _ in wanted:
         some = [v for v in looked_at if v.zone not in zones and v.type.name != "slow"]
         some = [v for v in some if v.name not in without] or some
@@ -148,18 +148,18 @@
 
 @settings(max_examples=100)
 @given(machines(), st.lists(jobs(), min_size=1, max_size=4))
-def test_gangs_go_where_a_look_at_every_machine_sends_them(fields, wanted):
-    listed, kept = fresh(fields), fresh(fields)
-    room = indexed(kept)
+def test_index_places_gangs_like_full_scan(fields, wanted):
+    listed, kept = make_views(fields), make_views(fields)
+    room = build_index(kept)
     for spec in wanted:
         expected = plain.place_gang(spec, listed)
         chosen = place_gang(spec, room.select_all())
         assert (chosen and [v.name for v in chosen]) == (expected and [v.name for v in expected])
-        assert state(kept) == state(listed)
+        assert capacity_state(kept) == capacity_state(listed)
 
 
 @st.composite
-def standing(draw, machine: int) -> list[Victim]:
+def victims_on_machine(draw, machine: int) -> list[Victim]:
     """Tasks on a machine that might be stopped."""
     found = []
     for number in range(draw(st.integers(0, 3))):
@@ -172,18 +172,18 @@
 @given(
     st.data(), machines(), st.lists(st.tuples(jobs(), st.sampled_from(list(Priority)), st.integers(1, 4)), max_size=5)
 )
-def test_who_is_stopped_is_whom_asking_every_machine_anew_names(data, fields, wanted):
+def test_cached_preemption_matches_full_scan(data, fields, wanted):
     """One round asks for several jobs, some of which ask for the same: what is known of a machine must not be stale."""
-    looked_at, kept = fresh(fields), fresh(fields)
-    victims = {v.name: data.draw(standing(number)) for number, v in enumerate(kept)}
+    looked_at, kept = make_views(fields), make_views(fields)
+    victims = {v.name: data.draw(victims_on_machine(number)) for number, v in enumerate(kept)}
     rights = PreemptionPolicy({}, frozenset())
     stops = PreemptionCache({name: list(there) for name, there in victims.items()}, rights)
     for spec, priority, count in wanted:
         for same in (replace(spec, priority=priority), replace(spec, ref="j-8", priority=priority)):
-            expected = plain.make_room(same, count, looked_at, victims, Counter(), rights)
+            expected = plain.plan_preemptions(same, count, looked_at, victims, Counter(), rights)
             gained = plan_preemptions(same, count, kept, stops, Counter())
             assert [(v.name, whom) for v, whom in gained] == [(v.name, whom) for v, whom in expected]
-            assert state(kept) == state(looked_at)
+            assert capacity_state(kept) == capacity_state(looked_at)
 
 
 changes = st.lists(
@@ -194,8 +194,8 @@
 @settings(max_examples=100)
 @given(machines(), changes, jobs(), jobs())
 def test_the_index_after_any_changes_is_the_one_made_afresh(fields, changes, other, spec):
-    views = fresh(fields)
-    room, there = indexed(views), {v.name: v for v in views}
+    views = make_views(fields)
+    room, there = build_index(views), {v.name: v for v in views}
     for what, number in changes:
         view = views[number % len(views)]
         if what == "drop":
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize("shape", ["batch", "service"])
 def test_a_machine_that_is_not_ready_is_passed_over_when_its_turn_comes(shape):
     views = [MachineView(f"n-{n}", TYPES[0], "a", False, 8.0, 0.0, 32.0) for n in range(3)]
-    choice = indexed(views).select_all()
+    choice = build_index(views).select_all()
     choice = choice.__class__(choice.index, ready=lambda view: view.name != "n-0")
     spec = parse_job(
         {
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,14 +1,14 @@
 """What users are told: accepting, answering, health (points 1, 7 and 8 of docs/design.md)."""
 
 import orjson
-from traces import only, served
+from traces import fault_on_path, ready_world
 
 # Accept
 
 
 def test_accept_of_unknown_outcome_is_refused_at_once_and_found_by_the_retry():
-    world = served()
-    world.filter = only("/commit answer lost")
+    world = ready_world()
+    world.filter = fault_on_path("/commit answer lost")
     assert world.submit("j-1") == 503
     world.filter = lambda *_: None
     assert world.submit("j-1") == 200
@@ -17,8 +17,8 @@
 
 
 def test_accept_that_is_applied_late_makes_one_job():
-    world = served()
-    world.filter = only("/commit held")
+    world = ready_world()
+    world.filter = fault_on_path("/commit held")
     assert world.submit("j-1", node="holdfast-1") == 503
     world.filter = lambda *_: None
     assert world.submit("j-1", node="holdfast-2") == 201
@@ -28,7 +28,7 @@
 
 
 def test_repeat_of_a_known_job_is_never_refused():
-    world = served()
+    world = ready_world()
     world.submit("j-1", shape="service", urgency="prod")
     node = world.nodes["holdfast-2"]
     world.run(2)
@@ -40,7 +40,7 @@
 
 
 def test_status_is_never_older_than_what_another_node_told():
-    world = served()
+    world = ready_world()
     world.submit("j-1", node="holdfast-0")
     for name in world.nodes:
         assert world.poll("j-1", node=name) == "pending", "no node may answer 404"
@@ -51,7 +51,7 @@
 
 
 def test_status_in_an_outage_is_503_unless_it_is_final():
-    world = served()
+    world = ready_world()
     world.submit("j-1")
     world.submit("j-2", run_s=500.0)
     assert world.run(30, lambda: world.poll("j-1", node="holdfast-0") == "done")
@@ -65,7 +65,7 @@
 
 def test_status_of_a_job_that_ends_while_its_version_is_compared():
     """Found by an incident: the record was gone when the answer was put together."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=3.0)
     node = world.nodes["holdfast-1"]
     assert world.run(10, lambda: world.poll("j-1", node="holdfast-1") == "running")
@@ -85,7 +85,7 @@
 
 
 def test_node_that_alone_lost_the_store_is_unhealthy_and_an_outage_leaves_all_healthy():
-    world = served()
+    world = ready_world()
     intake = world.nodes["holdfast-0"].intake
     world.cut_from_store = {"holdfast-0"}
     world.run(6)
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -144,7 +144,7 @@
         server.stop()
 
 
-class Echo:
+class RecordingServer:
     """A WSGI application that keeps what it was asked, and a raw connection to it."""
 
     def __init__(self) -> None:
@@ -173,11 +173,11 @@
         self.server.stop()
 
 
-def test_requests_follow_one_another_on_a_connection_and_answers_leave_in_one_piece():
+def test_keep_alive_responses_leave_in_one_piece():
     """Headers and body were two packets and two calls; reading headers as an e-mail took most of an exchange."""
     post = "POST /checkin HTTP/1.1\r\nhost: a\r\nCONTENT-LENGTH: 4\r\nX-Two: 1\r\nx-two: 2\r\n\r\nbody"
     chunked = "POST /api/jobs HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-    with Echo() as echo:
+    with RecordingServer() as echo:
         answers = echo.talk(post, chunked, "GET /api/jobs/j-1?x=1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
     assert all(a.startswith(b"HTTP/1.1 200 OK\r\n") and a.endswith(b"\r\n\r\n{}") for a in answers)
     first, second, third = echo.asked
@@ -198,7 +198,7 @@
     ],
 )
 def test_headers_that_two_readers_could_take_differently_are_refused(headers):
-    with Echo() as echo:
+    with RecordingServer() as echo:
         (answer,) = echo.talk(f"POST /checkin HTTP/1.1\r\nHost: a\r\n{headers}\r\nbody")
     assert answer.startswith(b"HTTP/1.1 400")
     assert echo.asked == []
--- a/tests/test_lone.py
+++ b/tests/test_isolated_node.py
@@ -2,13 +2,13 @@
 
 import orjson
 import pytest
-from traces import served
+from traces import ready_world
 
 from kelpjunction.clock import seconds
 from kelpjunction.leadership import LEADER_KEY, Role
 
 
-def alone(world, *names) -> None:
+def isolate(world, *names) -> None:
     world.cut_from_store, world.cut_from_peers = set(names), set(names)
 
 
@@ -17,8 +17,8 @@
 
 
 @pytest.mark.parametrize("who", ["a holder", "the leader", "two of three", "one while another is rolled"])
-def test_lone_node_loses_no_lease_and_its_blocks_go_on_elsewhere(who):
-    world = served(machines=9, capacity=9)
+def test_blocks_of_isolated_node_move_without_lease_loss(who):
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", urgency="prod")
     world.submit("j-2", 6, run_s=25.0)
     assert world.run(10, lambda: len(world.running()) == 12)
@@ -26,17 +26,19 @@
     others = [n for n in world.node_names if n != leader]
     cut = {"the leader": [leader], "two of three": others}.get(who, others[:1])
     before = sessions(world)
-    alone(world, *cut)
+    isolate(world, *cut)
     if who == "one while another is rolled":
         world.run(3)
         world.kill_node(others[1])
         world.run_after(4.0, lambda: world.start_node(others[1]))
     free = [n for n in world.node_names if n not in cut]
-    assert world.run(12, lambda: {g.holder for n in free if world.nodes[n] for g in held(world, n)} <= set(free))
+    assert world.run(
+        12, lambda: {g.holder for n in free if world.nodes[n] for g in grants_known_to(world, n)} <= set(free)
+    )
     world.run(6)
     assert world.submit("j-3", 3, run_s=5.0, node=free[0]) == 201
     world.run(20)
-    alone(world)
+    isolate(world)
     world.run(20)
     assert sessions(world) == before, "no lease ended"
     assert len(world.running("j-1")) == 6
@@ -44,16 +46,16 @@
     assert world.broken == []
 
 
-def held(world, name):
+def grants_known_to(world, name):
     return world.nodes[name].blocks.grants.values()
 
 
-def test_lone_holder_sends_all_workers_of_a_block_away_once_one_has_seen_a_higher_token():
+def test_isolated_holder_releases_block_workers_after_higher_token_seen():
     """Each of them waited for its own sign before: a command of the new holder to it."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
     zone = world.nodes[name].blocks.held_zones()[0]
-    alone(world, name)
+    isolate(world, name)
     new = {n for n in world.node_names if n != name}
     assert world.run(10, lambda: all(world.nodes[n].blocks.holder(zone) in new for n in new))
     theirs = [w for w, _ in world.cloud.machines.values() if w.zone == zone]
@@ -63,24 +65,24 @@
 
 def test_lone_node_leaves_the_load_balancer_once_a_worker_proves_it_alone():
     """It has no sibling to ask, and its users got nothing but 503 for as long as the cut lasted."""
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     name = world.leader_name()
-    alone(world, name)
+    isolate(world, name)
     world.run(8)
     assert [world.nodes[n].intake.healthy() for n in world.node_names] == [n != name for n in world.node_names]
-    alone(world)
+    isolate(world)
     world.run(3)
     assert world.nodes[name].intake.healthy()
-    alone(world, *world.node_names)
+    isolate(world, *world.node_names)
     world.run(8)
     assert all(node.intake.healthy() for node in world.nodes.values()), "everybody's outage makes nobody leave"
 
 
-def test_users_of_a_lone_node_are_told_at_once_to_come_back():
-    world = served()
+def test_isolated_node_answers_503_at_once():
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     name = next(n for n in world.node_names if n != world.leader_name())
-    alone(world, name)
+    isolate(world, name)
     world.run(5)
     asked = world.clock.now
     assert world.submit("j-2", node=name) == 503
@@ -89,7 +91,7 @@
 
 
 def test_everybodys_outage_ends_no_lease_before_the_grace_has_passed():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running()) == 6)
     before = sessions(world)
@@ -107,8 +109,8 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.3, 0.9])
-def test_leader_that_is_back_at_once_leads_again_before_its_old_hold_ends(after):
-    world = served()
+def test_restarted_leader_leads_before_old_store_lease_expires(after):
+    world = ready_world()
     name = world.leader_name()
     for other in world.node_names:
         if other != name:
@@ -126,7 +128,7 @@
 
 
 def test_late_commit_of_the_process_before_changes_nothing():
-    world = served()
+    world = ready_world()
     name = world.leader_name()
     world.late_request_delay_s = (3.0, 3.0)
     world.filter = lambda source, target, path: "held" if source == name and path == "/commit" else None
@@ -142,7 +144,7 @@
 
 
 def test_node_that_ends_again_and_again_does_not_hold_the_others_up():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
     longest = seconds(0)
     for number in range(33):  # for 20 s
@@ -162,8 +164,8 @@
 # Guards that were taken out once, and that nothing else noticed
 
 
-def test_one_report_with_a_higher_token_sends_a_blocks_other_workers_away_too():
-    world = served(machines=9, capacity=9)
+def test_higher_token_in_one_report_refuses_whole_block():
+    world = ready_world(machines=9, capacity=9)
     node = world.leader()
     zone = node.blocks.held_zones()[0]
     one, other = [w for w, _ in world.cloud.machines.values() if w.zone == zone][:2]
@@ -175,8 +177,8 @@
     assert node.check_in(orjson.dumps(other.report()))[0] == 200, "it has the block under a higher token itself"
 
 
-def test_nobody_leads_over_a_lead_that_changed_meanwhile():
-    world = served()
+def test_campaign_fails_if_leader_key_changed():
+    world = ready_world()
     name = world.leader_name()
     node = world.nodes[name]
     lead = node.mirror.get(LEADER_KEY)
@@ -188,7 +190,7 @@
 
 
 def test_blocks_are_given_to_a_node_that_ended_often_only_when_it_has_stayed():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
     for _ in range(4):
         world.kill_node(name)
--- a/tests/test_forgotten.py
+++ b/tests/test_job_durability.py
@@ -1,8 +1,8 @@
 """No accepted job is forgotten: it stays known, questions about it are answered, and it runs."""
 
 import pytest
-from test_budget import limits
-from traces import served
+from test_write_rate_limiter import store_limits_for_rate
+from traces import ready_world
 
 from kelpjunction.clock import ZERO, seconds
 from kelpjunction.jobs.job_index import JOB_PREFIX
@@ -10,7 +10,7 @@
 from kelpjunction.store.mirror import Verifier
 
 
-def everybody_asks(world, refs: list[str], length: float) -> None:
+def poll_all_jobs(world, refs: list[str], length: float) -> None:
     """Users poll each job every 5 s, none at the same moment as the others."""
     for step in range(int(length * 10)):
         world.run(0.1)
@@ -21,8 +21,8 @@
 
 @pytest.mark.parametrize("changes", [5, 15, 30, 250])
 @pytest.mark.parametrize("trouble", ["outage", "roll", "loss of all nodes"])
-def test_every_question_is_answered_once_troubles_are_over(changes, trouble):
-    world = served(machines=9, capacity=12, store=limits(changes))
+def test_every_poll_is_answered_once_faults_end(changes, trouble):
+    world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(changes))
     refs = [f"j-{n}" for n in range(30)]
     for ref in refs:
         for _ in range(20):
@@ -31,26 +31,26 @@
             world.run(1)
     if trouble == "outage":
         world.fault("outage", "", 12.0)
-        everybody_asks(world, refs, 12)
+        poll_all_jobs(world, refs, 12)
     elif trouble == "roll":
         for name in world.node_names:
             world.fault("kill", name, 3.0)
-            everybody_asks(world, refs, 8)
+            poll_all_jobs(world, refs, 8)
     else:
         world.fault("kill", "all", 6.0)
-        everybody_asks(world, refs, 6.5)
+        poll_all_jobs(world, refs, 6.5)
     world.service_level_tracker.on_faults_ended(world.clock.now)
-    everybody_asks(world, refs, 80)
+    poll_all_jobs(world, refs, 80)
     assert world.service_level_tracker.unanswered_jobs == {}
     assert world.service_level_tracker.longest_unanswered <= seconds(10)
-    everybody_asks(world, refs, 150 if changes < 15 else 20)
+    poll_all_jobs(world, refs, 150 if changes < 15 else 20)
     assert [ref for ref in refs if world.last_told_state[ref] != "done"] == []
     assert world.broken == []
 
 
-def test_job_whose_acceptance_nobody_heard_of_runs_and_is_known():
+def test_job_with_lost_acceptance_response_runs():
     """The commit was carried out, the answer lost, and the node died: the user's repeat finds it."""
-    world = served()
+    world = ready_world()
     name = world.node_names[1]
     world.filter = lambda source, target, path: "answer lost" if (source, path) == (name, "/commit") else None
     assert world.submit("j-1", run_s=3.0, node=name) == 503
@@ -61,8 +61,8 @@
     assert world.run(20, lambda: world.poll("j-1") == "done")
 
 
-def test_job_that_a_nodes_copy_lacks_is_found_when_it_is_asked_about():
-    world = served()
+def test_job_missing_from_mirror_is_found_when_polled():
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     node = world.nodes[world.node_names[1]]
     node.mirror._entries.pop(JOB_PREFIX + "j-1")
@@ -70,8 +70,8 @@
     assert world.poll("j-1", node=node.platform.node) in ("pending", "running")
 
 
-def test_job_that_no_news_told_of_is_found_and_runs():
-    world = served()
+def test_job_missed_by_all_watches_is_found_and_runs():
+    world = ready_world()
     for node in world.nodes.values():
         put = node.mirror.put
 
@@ -88,9 +88,9 @@
     assert world.run(70, lambda: world.starts == ["j-1/0"])
 
 
-def test_questions_that_nobody_waits_for_any_more_take_no_one_elses_turn():
+def test_expired_comparisons_are_dropped():
     """Where more was asked than can be compared, old questions were answered first and all came too late."""
-    served_world = served()
+    served_world = ready_world()
     waiting = []
     store = next(iter(served_world.nodes.values())).store
     verifier = Verifier(store, waiting.append, lambda duration: None, 10.0)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from traces import handed, only, served, worker_of
+from traces import dispatch_without_start, fault_on_path, ready_world, worker_of
 
 from kelpjunction.lab.world import seconds
 from kelpjunction.queue import PreemptionPolicy
@@ -11,7 +11,7 @@
 
 
 def test_abort_through_another_node_beats_a_launch_that_was_decided():
-    world = served(machines=0, capacity=0)
+    world = ready_world(machines=0, capacity=0)
     world.submit("j-1", 2)
     worker = world.cloud.add("a", False, world.clock.now)
     # The abort reaches the store between the leader's last look and its launch.
@@ -24,8 +24,8 @@
 
 
 def test_launch_by_a_holder_that_has_not_heard_of_the_abort_fails():
-    world = served()
-    holder, launch = handed(world, "j-1")
+    world = ready_world()
+    holder, launch = dispatch_without_start(world, "j-1")
     other = next(n for n in world.nodes.values() if n is not holder)
     assert other.intake.abort("j-1").status == 200
     assert not holder.job_index.jobs["j-1"].cancelled, "its mirror lags"
@@ -35,8 +35,8 @@
 
 
 def test_launch_by_a_holder_that_was_superseded_fails():
-    world = served()
-    holder, launch = handed(world, "j-1")
+    world = ready_world()
+    holder, launch = dispatch_without_start(world, "j-1")
     zone = next(holder.job_index.jobs["j-1"].unstarted_dispatches())[1].zone
     other = next(n for n in world.nodes.values() if n is not holder)
     successor = (other.platform.node, other.leadership.members[other.platform.node]["incarnation"], 9)
@@ -47,9 +47,9 @@
 
 
 def test_launch_that_is_applied_late_fails_once_it_was_fenced():
-    world = served()
-    holder, launch = handed(world, "j-1")
-    world.filter = only("/commit held")
+    world = ready_world()
+    holder, launch = dispatch_without_start(world, "j-1")
+    world.filter = fault_on_path("/commit held")
     launch()
     assert world.late and holder.job_index.jobs["j-1"].placed_count() == 0
     world.filter = lambda *_: None
@@ -59,7 +59,7 @@
 
 
 def test_launch_of_unknown_outcome_is_fenced_before_anything_else_starts():
-    world = served()
+    world = ready_world()
     held = []
 
     def hold_launch(source, target, path):
@@ -82,7 +82,7 @@
 
 
 def test_gang_starts_whole_and_is_restarted_whole_when_a_machine_dies():
-    world = served()
+    world = ready_world()
     world.submit("j-1", 4, shape="ensemble", run_s=20.0, cpus=6.0, mark_s=5.0, stow_s=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 4)
     worker = worker_of(world, "j-1/2")
@@ -93,7 +93,7 @@
 
 
 def test_gang_that_spans_blocks_starts_whole():
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 3, shape="ensemble", cpus=8.0, crew="blue", run_s=5.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     assert world.run(30, lambda: world.poll("j-1") == "done")
@@ -101,7 +101,7 @@
 
 
 def test_large_array_is_folded_and_ends_within_the_stores_limits():
-    world = served(machines=9, capacity=9)
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 300, run_s=0.1, cpus=0.5, ram_gb=0.5, crew="blue")
     assert world.run(120, lambda: world.poll("j-1") == "done")
     world.run(5)
@@ -109,9 +109,9 @@
     assert world.broken == []
 
 
-def test_work_that_no_objective_names_takes_any_room_once_it_has_waited_long():
+def test_work_without_objective_loses_price_limit_after_waiting():
     """An accepted job must run, also where there is no cheap room at all."""
-    world = served(machines=0, capacity=0)
+    world = ready_world(machines=0, capacity=0)
     world.submit("j-1")
     world.run(1)
     fleet, job = world.leader().fleet, world.leader().job_index.jobs["j-1"]
@@ -127,7 +127,7 @@
 
 def test_deficits_of_more_jobs_than_one_transaction_holds_outlive_their_leader():
     """Found by reading for size: what was over the limit used to be left out."""
-    world = served(machines=0, capacity=0)
+    world = ready_world(machines=0, capacity=0)
     for n in range(200):
         world.submit(f"j-{n}")
     leader = world.leader()
--- a/tests/test_giants.py
+++ b/tests/test_large_jobs.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 
 import pytest
-from traces import served
+from traces import ready_world
 
 from kelpjunction.lab.service_levels import LARGEST_JOBS_START_LIMIT
 
 GANG = {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0, "run_s": 20.0, "stripe": "gang"}
 
 
-def beside_a_stream(world, length: float, when: dict[float, Callable[[], None]] | None = None, **fields) -> None:
+def run_with_small_jobs(world, length: float, when: dict[float, Callable[[], None]] | None = None, **fields) -> None:
     """Let time pass while a small array comes every other second, more than the machines carry."""
     for number in range(int(length / 2)):
         ref = f"j-9{len(world.jobs):04d}"
@@ -20,7 +20,7 @@
         world.run(2)
 
 
-def late(world) -> list[str]:
+def late_large_jobs(world) -> list[str]:
     """Large jobs that began too late, or not yet though it is too late."""
     return [
         ref
@@ -31,39 +31,39 @@
 
 
 @pytest.mark.parametrize("team", ["red", "blue"])
-def test_giant_gang_begins_beside_a_swarm_that_fills_its_teams_limit_and_the_machines(team):
+def test_large_gang_starts_in_time_beside_many_small_jobs(team):
     """Of red's limit of 40 CPUs the small jobs took each gap as it opened: 32 at once never came together."""
-    world = served(machines=9, capacity=9)
-    beside_a_stream(world, 20, crew=team)
+    world = ready_world(machines=9, capacity=9)
+    run_with_small_jobs(world, 20, crew=team)
     world.submit("j-1", 8, cpus=4.0, crew=team, **GANG)
-    beside_a_stream(world, 300, crew=team)
-    assert late(world) == []
+    run_with_small_jobs(world, 300, crew=team)
+    assert late_large_jobs(world) == []
     assert world.broken == []
 
 
-def test_giant_array_begins_whole_beside_a_stream_of_arrays():
+def test_large_array_starts_fully_beside_small_arrays():
     """What it receives counts against it: its last tasks stood behind each array that came."""
-    world = served(machines=3, capacity=3)
-    beside_a_stream(world, 20)
+    world = ready_world(machines=3, capacity=3)
+    run_with_small_jobs(world, 20)
     world.submit("j-1", 60, cpus=2.0, crew="blue", run_s=20.0, urgency="low", stripe="large")
-    beside_a_stream(world, 300)
-    assert late(world) == []
+    run_with_small_jobs(world, 300)
+    assert late_large_jobs(world) == []
     assert world.broken == []
 
 
-def test_two_giants_that_wait_for_each_others_room():
-    world = served(machines=6, capacity=6)
-    beside_a_stream(world, 10)
+def test_two_large_gangs_do_not_block_each_other():
+    world = ready_world(machines=6, capacity=6)
+    run_with_small_jobs(world, 10)
     for ref in ("j-1", "j-2"):
         world.submit(ref, 6, cpus=6.0, crew="blue", **GANG)
-    beside_a_stream(world, 280)
-    assert late(world) == []
+    run_with_small_jobs(world, 280)
+    assert late_large_jobs(world) == []
     assert world.broken == []
 
 
 @pytest.mark.parametrize("what", ["leader", "zone"])
-def test_giant_that_loses_its_leader_or_its_zone_while_it_collects(what):
-    world = served(machines=9, capacity=12)
+def test_large_gang_starts_in_time_despite_leader_or_zone_loss(what):
+    world = ready_world(machines=9, capacity=12)
 
     def lose() -> None:
         if what == "zone":
@@ -73,15 +73,15 @@
             world.kill_node(name)
             world.run_after(5.0, lambda: world.start_node(name))
 
-    beside_a_stream(world, 10, crew="blue")
+    run_with_small_jobs(world, 10, crew="blue")
     world.submit("j-1", 3, cpus=7.0, crew="blue", together=True, **GANG)
-    beside_a_stream(world, 290, when={4: lose, 66: lose}, crew="blue")
-    assert late(world) == []
+    run_with_small_jobs(world, 290, when={4: lose, 66: lose}, crew="blue")
+    assert late_large_jobs(world) == []
     assert world.broken == []
 
 
-def test_giant_whose_teams_limit_services_use_up_is_told_so_and_holds_nothing():
-    world = served(machines=9, capacity=9)
+def test_large_gang_blocked_by_team_limit_says_why_and_reserves_nothing():
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, cpus=4.0, shape="service", urgency="prod")
     world.run(5)
     world.submit("j-2", 5, cpus=4.0, **GANG)
--- a/tests/test_gap.py
+++ b/tests/test_lease_renewal_outage.py
@@ -9,7 +9,7 @@
 
 import orjson
 import pytest
-from traces import served
+from traces import ready_world
 
 from kelpjunction.clock import seconds
 from kelpjunction.lab.world import STORE, NetworkConditions, World
@@ -20,39 +20,39 @@
 from kelpjunction.transport import Reply
 
 # Of `cancel`, lease and grace leave nothing to spare but what the inequality gives the kill.
-TIGHT = WorkerTimes(seconds(2), seconds(15), seconds(30), seconds(5), seconds(30))
+SHORT_GRACE_TIMES = WorkerTimes(seconds(2), seconds(15), seconds(30), seconds(5), seconds(30))
 KINDS = ({"shape": "batch"}, {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}, {"shape": "service"})
 
 
 @dataclass
-class Gap:
+class OutageScenario:
     """When what happens, in seconds from the refusal on."""
 
-    struck: str = "leader"  # or a holder that does not lead
-    cancelled: tuple[float, ...] = (0.3, 1.9)  # one job of each shape at each
-    outage: float = 2.0  # begins
-    refused_for: float = 14.0
-    grace: float = 0.0  # beyond what the inequality allows: to see that the trace would notice
+    refused_node: str = "leader"  # or a holder that does not lead
+    cancelled_at_s: tuple[float, ...] = (0.3, 1.9)  # one job of each shape at each
+    outage_at_s: float = 2.0  # begins
+    refusal_duration_s: float = 14.0
+    extra_grace_s: float = 0.0  # beyond what the inequality allows: to see that the trace would notice
     rounds: int = 1
-    heard: bool = False  # whether who holds the block by then hears of all cancellations
+    new_holder_hears_cancellations: bool = False  # whether who holds the block by then hears of all cancellations
 
 
-def play(world: World, gap: Gap) -> tuple[dict[str, float], int]:
+def play_scenario(world: World, gap: OutageScenario) -> tuple[dict[str, float], int]:
     """Play it; returns how long the tasks of each cancelled job outlived its confirmation, and how many there were."""
     holders = [n for n in world.node_names if world.nodes[n].blocks.held_zones()]
     leader = world.leader_name()
-    old = leader if gap.struck == "leader" else next(n for n in holders if n != leader)
+    old = leader if gap.refused_node == "leader" else next(n for n in holders if n != leader)
     zone = world.nodes[old].blocks.held_zones()[0]
     other = next(n for n in world.node_names if n != old)
     for node in world.nodes.values():
         renewal = node.leadership.renewal
         node.leadership.renewal = LeaseRenewalPolicy(
-            renewal.lease, renewal.cancel_timeout + seconds(gap.grace), renewal.block_lease
+            renewal.lease, renewal.cancel_timeout + seconds(gap.extra_grace_s), renewal.block_lease
         )
     lasted: dict[str, float] = {}
     for number in range(gap.rounds):
         refs = {}
-        for at, _ in enumerate(gap.cancelled):
+        for at, _ in enumerate(gap.cancelled_at_s):
             for kind, fields in enumerate(KINDS):
                 refs[at, kind] = f"j-{number}{at}{kind}"
                 world.submit(refs[at, kind], 2, run_s=300.0, cpus=0.5, bay=zone, **fields)
@@ -60,8 +60,12 @@
         world.run(3)
         began = world.clock.now
         world.cut_from_store = {old}
-        acts = [(gap.outage, "outage"), (gap.refused_for, "served"), *((t, n) for n, t in enumerate(gap.cancelled))]
-        for at, what in [*sorted(acts, key=lambda act: act[0]), (gap.outage + 61, "over")]:
+        acts = [
+            (gap.outage_at_s, "outage"),
+            (gap.refusal_duration_s, "served"),
+            *((t, n) for n, t in enumerate(gap.cancelled_at_s)),
+        ]
+        for at, what in [*sorted(acts, key=lambda act: act[0]), (gap.outage_at_s + 61, "over")]:
             world.run((began + seconds(at) - world.clock.now).total_seconds(), lambda: _note(world, lasted))
             if what == "outage":
                 world.store.outage(True)
@@ -90,22 +94,26 @@
 @pytest.mark.parametrize(
     "gap",
     [
-        Gap(),
-        Gap(struck="a holder"),
-        Gap(cancelled=(0.0, 0.1)),
-        Gap(cancelled=(-0.1, 1.9)),  # just before the refusal, and at the last instant before the outage
-        Gap(cancelled=(0.5, 4.5), outage=5.0, heard=True),  # others lead by then, and hold the block
-        Gap(cancelled=(0.5, 1.5), outage=1.6, refused_for=80.0),
-        Gap(rounds=2),
+        OutageScenario(),
+        OutageScenario(refused_node="a holder"),
+        OutageScenario(cancelled_at_s=(0.0, 0.1)),
+        OutageScenario(
+            cancelled_at_s=(-0.1, 1.9)
+        ),  # just before the refusal, and at the last instant before the outage
+        OutageScenario(
+            cancelled_at_s=(0.5, 4.5), outage_at_s=5.0, new_holder_hears_cancellations=True
+        ),  # others lead by then, and hold the block
+        OutageScenario(cancelled_at_s=(0.5, 1.5), outage_at_s=1.6, refusal_duration_s=80.0),
+        OutageScenario(rounds=2),
     ],
-    ids=lambda gap: f"{gap.struck}-{gap.cancelled}-{gap.outage}-{gap.refused_for}-{gap.rounds}",
+    ids=lambda gap: f"{gap.refused_node}-{gap.cancelled_at_s}-{gap.outage_at_s}-{gap.refusal_duration_s}-{gap.rounds}",
 )
-def test_cancelled_tasks_are_gone_in_time_through_the_gap(gap):
-    world = served(machines=9, capacity=9, times=TIGHT)
-    lasted, jobs = play(world, gap)
+def test_cancelled_tasks_end_in_time_when_store_refuses_holder_then_all(gap):
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
+    lasted, jobs = play_scenario(world, gap)
     assert world.broken == []
     assert jobs == 6
-    if gap.heard:
+    if gap.new_holder_hears_cancellations:
         assert max(lasted.values(), default=0) < 5, "the new holder has told the workers"
     else:
         assert max(lasted.values()) > 20, "the holder did not hear: leases ended them"
@@ -113,31 +121,31 @@
 
 @pytest.mark.parametrize("pace", [0.9995, 1.0005])
 def test_gap_with_workers_whose_clocks_drift(pace):
-    world = served(machines=9, capacity=9, times=TIGHT)
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     for worker, _ in world.cloud.machines.values():
         worker.clock_rate = pace
-    play(world, Gap())
+    play_scenario(world, OutageScenario())
     assert world.broken == []
 
 
 def test_gap_with_reports_and_answers_on_their_way_for_seconds():
     """A 200 that was checked long before it arrives renews no more than its report's sending does."""
-    world = served(machines=9, capacity=9, times=TIGHT)
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     world.network_conditions = NetworkConditions(delay_range_s=(0.1, 3.8), loss_rate=0.0)
-    play(world, Gap())
+    play_scenario(world, OutageScenario())
     assert world.broken == []
 
 
 def test_the_trace_notices_a_node_that_renews_for_too_long():
-    world = served(machines=9, capacity=9, times=TIGHT)
-    play(world, Gap(cancelled=(-0.1, 0.1), grace=4.0))
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
+    play_scenario(world, OutageScenario(cancelled_at_s=(-0.1, 0.1), extra_grace_s=4.0))
     assert {b.split(":")[0] for b in world.broken} == {"ran_cancelled"}
 
 
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
 def test_gap_while_a_start_is_under_way(path):
     """The holder was about to start, or to write down, what is cancelled through another node meanwhile."""
-    world = served(machines=9, capacity=9, times=TIGHT)
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     holder = world.leader_name()
     other = next(n for n in world.node_names if n != holder)
     struck = []
@@ -164,7 +172,7 @@
 
 @pytest.mark.parametrize("what", ["restart", "lease ends"])
 def test_gap_while_a_workers_session_changes(what):
-    world = served(machines=9, capacity=9, times=TIGHT)
+    world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     old = world.leader_name()
     other = next(n for n in world.node_names if n != old)
     world.submit("j-1", 9, shape="service", cpus=0.5)
@@ -193,7 +201,7 @@
 
 
 @pytest.mark.parametrize(("lease", "cancel"), [(15, 40), (29, 49), (10, 35), (29, 31), (29, 29.5), (16, 41)])
-def test_last_renewal_and_a_lease_end_within_cancel_and_no_sooner_than_they_must(lease, cancel):
+def test_grace_period_uses_cancel_limit_fully(lease, cancel):
     renewal = LeaseRenewalPolicy(seconds(lease), seconds(cancel), block_lease=seconds(1000))
     known_to, step = seconds(500), timedelta(milliseconds=1)
     last = known_to + renewal.grace_period - step
@@ -206,7 +214,7 @@
     assert renewal.cancel_timeout - gone < seconds(1.6)
 
 
-def test_little_room_is_watched_more_closely_and_none_is_refused():
+def test_short_grace_shortens_watch_and_no_grace_is_refused():
     ample = LeaseRenewalPolicy(seconds(15), seconds(40), seconds(20))
     little = LeaseRenewalPolicy(seconds(29), seconds(30), seconds(20))
     assert (ample.grace_period_short, little.grace_period_short) == (False, True)
@@ -216,9 +224,9 @@
         LeaseRenewalPolicy(seconds(29), seconds(29.02), seconds(20))
 
 
-def test_a_site_with_little_room_works_and_keeps_the_rule():
+def test_site_with_short_grace_ends_cancelled_tasks_in_time():
     tight = WorkerTimes(seconds(2), seconds(15), seconds(30), seconds(5), seconds(16.5))
-    world = served(machines=9, capacity=9, times=tight)
+    world = ready_world(machines=9, capacity=9, times=tight)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     world.submit("j-2", 6, run_s=300.0, cpus=0.5)
     assert world.run(10, lambda: len(world.running()) == 12)
@@ -238,7 +246,7 @@
 # What counts as a moment up to which all is known
 
 
-class Late:
+class SlowStore:
     """A state service each of whose answers takes a second to come; `applied` is what it has at a request's arrival."""
 
     def __init__(self, world: World) -> None:
@@ -251,9 +259,9 @@
         return reply
 
 
-def test_no_answer_proves_more_than_the_moment_it_was_asked_for():
+def test_mirror_freshness_is_request_time():
     world = World()
-    late = Late(world)
+    late = SlowStore(world)
     store = StoreClient(late, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0)
     mirror = Mirror(store, world.clock, late)
     began = world.clock.now
@@ -269,12 +277,12 @@
     assert mirror.known_until == opened, "own writes, a single key and a comparison say nothing of other keys"
 
 
-def test_a_watch_that_waited_through_a_refusal_proves_no_more_than_its_opening():
+def test_watch_freshness_is_its_opening_time():
     world = World()
     mirror = Mirror(
         StoreClient(None, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0),
         world.clock,
-        waits := Late(world),
+        waits := SlowStore(world),
     )
     mirror.revision, mirror.known_until, mirror._read_at = 0, world.clock.now, world.clock.now
     opened = world.clock.now
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -106,7 +106,7 @@
 )  # fmt: skip
 
 
-def written(steps) -> LedgerContents:
+def ledger_of(steps) -> LedgerContents:
     """A ledger of these stretches: (ms passed, what each team's jobs held that ended, and have open)."""
     entries = [settings_entry(1, "", 0, POLICY, "n term 1")]
     page = BalancePage(0, 0, {})
@@ -123,7 +123,7 @@
 @given(stretches)
 def test_what_is_charged_is_what_ended_and_what_is_open(steps):
     """Conservation: whatever the stretches are, charges add up to what ended plus what is open at the end."""
-    books = written(steps)
+    books = ledger_of(steps)
     sums = total(books.entries)
     for team in ("red", "blue", "guest"):
         ended = sum(now[team][0] for _, now in steps if team in now)
@@ -134,7 +134,7 @@
 
 @given(stretches, st.data())
 def test_an_entry_that_is_missing_repeated_or_changed_is_named(steps, data):
-    books = written(steps)
+    books = ledger_of(steps)
     entries = books.entries
     at = data.draw(st.integers(0, len(entries) - 1))
     kind = data.draw(st.sampled_from(["missing", "repeated", "changed", "swapped"]))
@@ -153,7 +153,7 @@
 
 def test_a_forged_entry_with_a_fitting_hash_fails_the_replay():
     """Whoever rewrites the whole chain still cannot make a balance follow from other charges."""
-    books = written([(DAY, {"red": (10**9, 0)}), (DAY, {"red": (0, 10**8)})])
+    books = ledger_of([(DAY, {"red": (10**9, 0)}), (DAY, {"red": (0, 10**8)})])
     first, second, _ = books.entries
     row = list(second["teams"]["red"])
     row[4] -= 1  # a little less usage than the charges lead to
@@ -169,7 +169,7 @@
 
 def test_settings_that_change_while_it_runs_are_entries_of_their_own():
     other = Policy.of(operators(half_life=timedelta(days=1), form="linear").ledger, TEAMS)
-    books = written([(DAY, {"red": (10**9, 0)})])
+    books = ledger_of([(DAY, {"red": (10**9, 0)})])
     last = books.entries[-1]
     changed = settings_entry(3, last["hash"], last["t"], other, "m term 2")
     page, rows = close(books.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
@@ -182,7 +182,7 @@
 # -- kept through any crash --------------------------------------------------------------
 
 
-def ledgered(**changes) -> tuple[World, UsageObserver]:
+def ledger_world(**changes) -> tuple[World, UsageObserver]:
     """A world that keeps a ledger, with the rig's own account beside it."""
     world = World(machines=6, operators=operators(period=timedelta(seconds=2), **changes))
     account = UsageObserver(world.store, world.clock)
@@ -195,7 +195,7 @@
     return [v[0] for k, v in sorted(world.store.data.items()) if k.startswith(writer.ENTRY_PREFIX)]
 
 
-def assert_equal(world: World, account: UsageObserver) -> LedgerContents:
+def assert_ledger_matches_account(world: World, account: UsageObserver) -> LedgerContents:
     """Let everything end; the ledger must say what the account says, to the millisecond, and hold its audit."""
     world.filter = lambda source, target, path: None
     assert world.run(
@@ -218,19 +218,19 @@
 
 
 def test_services_arrays_and_gangs_are_charged_until_they_are_settled():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, "j-1", 70)
     submit(world, "j-2", 3, shape="ensemble", crew="blue")
     submit(world, "j-3", 2, shape="service", crew="blue")
     world.run(20)
     assert world.abort("j-3") == 200
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 @pytest.mark.parametrize("fate", ["lost", "answer lost"])
 def test_leader_is_killed_after_a_closing_of_unknown_outcome(fate):
     """Applied or not: the next leader reads the head and charges what is missing, once."""
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world)
     leader = world.leader_name()
     struck = []
@@ -257,12 +257,12 @@
     world.run(6)
     assert world.leader_name() not in (None, leader)
     world.start_node(leader)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_a_closing_that_was_held_back_is_applied_late_or_never():
     """It is applied before the next one, which then fails by the head's version, or cannot be applied after it."""
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, run_s=30.0)
     leader = world.leader()
     closing = [False]
@@ -279,12 +279,12 @@
     world.run(25)
     numbers = [e["n"] for e in entries(world)]
     assert numbers == list(range(1, len(numbers) + 1))
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
-def test_a_reign_that_ends_while_a_closing_waits_for_an_answer_writes_nothing():
+def test_leader_term_ending_during_closing_writes_nothing():
     """As rounds did once (inc-7d2c): what was begun under a reign goes on with it, and fails by its guards."""
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, run_s=20.0)
     leader = world.leader()
     ended = leader.ledger_keeper._read_ended
@@ -306,11 +306,11 @@
     assert numbers == list(range(1, len(numbers) + 1))
     assert len(numbers) > len(before)
     world.start_node(leader.platform.node)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_superseded_leader_that_stood_still_closes_nothing():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, run_s=25.0)
     old = world.leader_name()
     world.freeze(old, 8)
@@ -319,20 +319,20 @@
     owners = [e["by"].split()[0] for e in entries(world)]
     assert len(set(owners)) == 2
     assert owners == sorted(owners, key=lambda o: o != old), "the old one wrote nothing after the new one"
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_all_nodes_dead_while_tasks_run_on():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, tasks=8, run_s=6.0)
     world.fault("kill", "all", 9)
     world.run(12)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_a_task_placed_and_settled_between_two_closings_with_a_takeover_between():
     """The nodes that saw it are all gone: its final record tells the next leader, by its revision."""
-    world, account = ledgered(half_life=timedelta(minutes=5))
+    world, account = ledger_world(half_life=timedelta(minutes=5))
     for node in world.nodes.values():
         node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 1, run_s=2.0)
@@ -341,12 +341,12 @@
     world.fault("kill", "all", 1)
     world.run(10)
     assert len(entries(world)) > before
-    books = assert_equal(world, account)
+    books = assert_ledger_matches_account(world, account)
     assert total(books.entries)["red"].cpus > 0
 
 
-def test_a_service_that_forgot_its_changes_is_read_again():
-    world, account = ledgered()
+def test_ledger_rereads_store_that_lost_its_change_history():
+    world, account = ledger_world()
     for node in world.nodes.values():
         node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 3, run_s=2.0)
@@ -354,11 +354,11 @@
     world.fault("kill", "all", 1)
     world.store.compact()
     world.run(10)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_block_handed_over_while_tasks_run_and_an_outage_of_the_state_service():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, tasks=8, run_s=20.0)
     holder = next(n for n in world.node_names if n != world.leader_name())
     world.kill_node(holder)
@@ -366,18 +366,18 @@
     world.fault("outage", "", 9)
     world.run(12)
     world.start_node(holder)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
 def test_a_leader_whose_time_of_day_is_behind_the_last_entry_closes_later():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, run_s=25.0)
     assert world.run(10, lambda: len(entries(world)) >= 3)
     last = entries(world)[-1]["t"]
     world.kill_node(world.leader_name())
     for node in world.nodes.values():
         if node is not None:
-            node.ledger_keeper._clock = Behind(world.clock)
+            node.ledger_keeper._clock = LaggingClock(world.clock)
     world.run(6)
     assert world.leader_name() is not None
     assert entries(world)[-1]["t"] == last
@@ -388,10 +388,10 @@
     for node in world.nodes.values():
         if node is not None:
             node.ledger_keeper._clock = world.clock
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
 
 
-class Behind:
+class LaggingClock:
     """A time of day ten seconds behind the others'."""
 
     def __init__(self, clock) -> None:
@@ -405,7 +405,7 @@
 
 
 def test_a_team_that_is_removed_and_comes_back_keeps_its_account():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, "j-1", 4, crew="blue", run_s=4.0)
     world.run(15)
     used = [e for e in entries(world) if "blue" in e.get("teams", {})][-1]["teams"]["blue"][4]
@@ -418,20 +418,20 @@
     world.fault("kill", "all", 1)
     world.run(8)
     submit(world, "j-3", 4, crew="blue", run_s=4.0)
-    books = assert_equal(world, account)
+    books = assert_ledger_matches_account(world, account)
     faded = [row[4] for e in books.entries if (row := e.get("teams", {}).get("blue"))]
     assert faded[-1] > used
 
 
 def test_weights_and_half_life_that_change_while_tasks_run_are_an_entry_and_lose_nothing():
     """Amounts are kept by resource, so that what is open is not weighed anew with other weights."""
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, tasks=6, run_s=25.0)
     assert world.run(10, lambda: len(entries(world)) >= 3)
     weights = {"cpu": 3.0, "accelerator": 10.0, "memory_gb": 0.5}
     world.operators = operators(period=timedelta(seconds=2), half_life=timedelta(hours=1), weights=weights)
     world.fault("kill", "all", 1)
-    books = assert_equal(world, account)
+    books = assert_ledger_matches_account(world, account)
     said = [e["policy"] for e in books.entries if e["kind"] == "settings"]
     assert [policy["weights"] for policy in said] == [[1000, 10_000, 0], [3000, 10_000, 500]]
     assert [policy["half_life"] for policy in said] == [WEEK, 3_600_000]
@@ -451,9 +451,9 @@
 
 
 def test_nothing_is_written_while_nothing_runs_and_nobody_waits():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, run_s=4.0)
-    assert_equal(world, account)
+    assert_ledger_matches_account(world, account)
     before = len(entries(world))
     world.run(60)
     assert len(entries(world)) == before
@@ -501,7 +501,7 @@
 
 
 def test_an_exported_ledger_is_audited_replayed_and_reported_offline(tmp_path):
-    books = written([(DAY, {"red": (10**9, 5)}), (DAY, {"blue": (0, 7)}), (DAY, {"blue": (9, 0)})])
+    books = ledger_of([(DAY, {"red": (10**9, 5)}), (DAY, {"blue": (0, 7)}), (DAY, {"blue": (9, 0)})])
     file = tmp_path / "usage.parquet"
     archive.write(file, books.base, books.entries)
     assert archive.read(file) == LedgerContents(books.base, books.entries)
@@ -533,7 +533,7 @@
 
 
 def test_entries_are_rolled_up_into_balances_and_the_rest_still_follows():
-    world, account = ledgered()
+    world, account = ledger_world()
     submit(world, "j-1", 4, run_s=4.0)
     world.run(15)
     store = world.leader().store
--- a/tests/test_unheard.py
+++ b/tests/test_lost_commit_responses.py
@@ -2,7 +2,7 @@
 
 import orjson
 import pytest
-from traces import served
+from traces import ready_world
 
 from kelpjunction.clock import seconds
 from kelpjunction.jobs.job_index import DISPATCH_PREFIX, END_PREFIX, JOB_PREFIX, RUN_PREFIX, SETTLED_PREFIX
@@ -10,7 +10,7 @@
 from kelpjunction.leadership import LEADER_KEY, Role
 
 
-class Unheard:
+class LostCommitResponses:
     """Loses the answers to the next transactions that write below a prefix, of one node or of any; counts them."""
 
     def __init__(self, world: World, prefix: str, most: int = 1, node: str | None = None) -> None:
@@ -43,10 +43,10 @@
 
 
 @pytest.mark.parametrize("through", ["the same node", "others"])
-def test_an_acceptance_that_was_not_heard_of_is_read_and_told(through):
+def test_acceptance_with_lost_response_is_confirmed(through):
     """The user got 503 after three seconds and submitted again, though the job was accepted all along."""
-    world = served()
-    unheard = Unheard(world, JOB_PREFIX)
+    world = ready_world()
+    unheard = LostCommitResponses(world, JOB_PREFIX)
     assert world.submit("j-1", run_s=60.0, node="holdfast-0") == 200
     assert unheard.written == ["l/job/j-1"]
     for name in world.node_names if through == "others" else ("holdfast-0",):
@@ -56,11 +56,11 @@
     assert world.broken == []
 
 
-def test_a_cancellation_that_was_not_heard_of_is_read_and_told():
-    world = served()
+def test_cancellation_with_lost_response_is_confirmed():
+    world = ready_world()
     world.submit("j-1", 2, run_s=60.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
-    unheard = Unheard(world, JOB_PREFIX)
+    unheard = LostCommitResponses(world, JOB_PREFIX)
     assert world.abort("j-1", node="holdfast-0") == 200
     assert unheard.written == ["l/job/j-1"]
     assert world.ask_all_nodes("j-1") == ["withdrawn"] * 3
@@ -69,7 +69,7 @@
 
 
 def test_a_cancellation_that_is_carried_out_late_is_not_told_before():
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     world.filter = lambda source, target, path: "held" if path == "/commit" and source == "holdfast-0" else None
@@ -88,10 +88,10 @@
     + [(SETTLED_PREFIX, "batch")],  # only arrays' results go into pages
 )
 @pytest.mark.parametrize("after", ["nothing", "the leader ends", "the writer ends"])
-def test_a_round_that_did_not_hear_what_it_wrote(prefix, shape, after):
+def test_round_with_lost_commit_responses_decides_nothing_twice(prefix, shape, after):
     """Hand-over, launch, results and end: others act on them at once, and the writer decides nothing twice."""
-    world = served()
-    unheard = Unheard(world, prefix, most=2)
+    world = ready_world()
+    unheard = LostCommitResponses(world, prefix, most=2)
     fields = {"mark_s": 5.0, "stow_s": 1.0} if shape == "ensemble" else {}
     world.submit("j-1", 3, shape=shape, run_s=4.0, **fields)
     if shape == "service":
@@ -121,16 +121,16 @@
 
 
 @pytest.mark.parametrize("prefix", ["l/block/", "l/token", "l/node/", LEADER_KEY, "l/term"])
-def test_a_lead_a_grant_and_a_member_key_that_were_not_heard_of(prefix):
-    world = served(machines=9, capacity=9)
+def test_leadership_and_grant_writes_with_lost_responses_take_effect(prefix):
+    world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     assert world.run(10, lambda: len(world.running("j-1")) == 6)
-    unheard = Unheard(world, prefix, most=3)
+    unheard = LostCommitResponses(world, prefix, most=3)
     world.kill_node(old := world.leader_name())
     assert world.run(12, lambda: world.leader() is not None)
     world.start_node(old)  # its member key is written anew, the others' are theirs
     unheard._watch(world.nodes[old])
-    assert world.run(30, lambda: bool(unheard.written) and len(served_blocks(world)) == 3)
+    assert world.run(30, lambda: bool(unheard.written) and len(held_zones(world)) == 3)
     world.run(10)
     assert len(world.running("j-1")) == 6
     assert world.submit("j-2", 3, run_s=2.0, cpus=0.5) in (200, 201)
@@ -138,12 +138,12 @@
     assert world.broken == []
 
 
-def served_blocks(world: World) -> set[str]:
+def held_zones(world: World) -> set[str]:
     return {zone for node in world.nodes.values() if node for zone in node.blocks.held_zones()}
 
 
-def test_a_hold_that_was_taken_and_not_heard_of_holds_nothing():
-    world = served()
+def test_store_lease_with_lost_response_expires():
+    world = ready_world()
     name = next(n for n in world.node_names if n != world.leader_name())
     world.kill_node(name)
     lost = []
@@ -163,10 +163,10 @@
     assert world.broken == []
 
 
-def test_a_fence_that_meets_a_launch_which_others_have_acted_on():
+def test_fencing_an_applied_launch_changes_nothing():
     """The launch was carried out, its task ended and the job with it, before the writer looked again."""
-    world = served(machines=3, capacity=3)
-    unheard = Unheard(world, RUN_PREFIX)
+    world = ready_world(machines=3, capacity=3)
+    unheard = LostCommitResponses(world, RUN_PREFIX)
     writers = []
 
     def strike(source: str) -> None:
@@ -187,10 +187,10 @@
     assert world.broken == []
 
 
-def test_machines_whose_record_was_not_heard_of_are_rented_once():
-    world = served(machines=1, capacity=6)
+def test_machines_are_rented_once_when_record_response_is_lost():
+    world = ready_world(machines=1, capacity=6)
     world.cloud.boot = world.times.report  # up within two seconds
-    unheard = Unheard(world, "l/cloud", most=2)
+    unheard = LostCommitResponses(world, "l/cloud", most=2)
     world.submit("j-1", 20, crew="blue", run_s=5.0)
     assert world.run(40, lambda: world.poll("j-1") == "done")
     assert unheard.written
--- a/tests/test_absence.py
+++ b/tests/test_paused_node.py
@@ -1,12 +1,12 @@
 """A node that stood still goes on with what it believed: nothing it does breaks a rule, and it blames nobody."""
 
 import pytest
-from traces import handed, served
+from traces import dispatch_without_start, ready_world
 
 
 def test_holder_that_stood_still_blames_no_machine_and_is_fenced():
     """Its own absence looks as if all its workers had fallen silent."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", 6, shape="service", urgency="prod", cpus=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 6)
     before = world.running("j-1")
@@ -21,7 +21,7 @@
 
 def test_holder_that_stood_still_in_an_outage_takes_no_machine_for_silent_on_its_return():
     """Its hold outlives the outage, so its blocks are still its own; but it heard nobody for as long."""
-    world = served()
+    world = ready_world()
     holder = world.leader()
     world.store.outage(True)
     world.filter = lambda source, target, path: "lost" if path in ("/checkin", "/status") else None  # nothing came in
@@ -36,8 +36,8 @@
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
 def test_launch_by_a_holder_that_stood_still_between_deciding_and_sending(path):
     """The start was committed, or about to be, when the holder stood still; others took its block meanwhile."""
-    world = served()
-    holder, launch = handed(world, "j-1")
+    world = ready_world()
+    holder, launch = dispatch_without_start(world, "j-1")
     name = holder.platform.node
     asleep = []
 
@@ -58,8 +58,8 @@
 
 
 def test_abort_while_the_holder_stands_still_before_its_start_leaves():
-    world = served()
-    holder, launch = handed(world, "j-1")
+    world = ready_world()
+    holder, launch = dispatch_without_start(world, "j-1")
     other = next(n for n in world.nodes.values() if n is not holder)
     world.pause_before_request = lambda source, target, path: 20.0 if path == "/commands" and not world.frozen else 0.0
     told = []
--- a/tests/test_production.py
+++ b/tests/test_production_compatibility.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from traces import served
+from traces import ready_world
 
 from kelpjunction.jobs.job_index import DISPATCH_PREFIX, ChunkDispatch, DispatchTarget
 
@@ -25,6 +25,7 @@
     "unstarted_dispatches": "pending",
     "leader_scheduler._dispatch": "leading._hand_over",
     "ChangeTracker": "Changes",
+    "ready_world": "served",
 }
 READ = """
 import json, sys
@@ -44,8 +45,8 @@
 START = """
 import json, sys
 sys.path.insert(0, "tests")
-from traces import served
-world = served(machines=6, capacity=6)
+from traces import ready_world
+world = ready_world(machines=6, capacity=6)
 for node in world.nodes.values():
     node.leader_scheduler._dispatch = lambda: False
 fields, page = json.load(sys.stdin)
@@ -58,8 +59,8 @@
 PLAY = """
 import json, sys
 sys.path.insert(0, "tests")
-from traces import served
-world = served(machines=6, capacity=6)
+from traces import ready_world
+world = ready_world(machines=6, capacity=6)
 gang = {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}
 world.submit("j-1", 200, cpus=0.5, ram_gb=0.5, run_s=4.0, crew="blue")
 world.submit("j-2", 4, shape="service", apart=True, cpus=1.0, urgency="prod")
@@ -86,7 +87,7 @@
     return folder
 
 
-def there(version: Path, script: str, given) -> object:
+def run_in_version(version: Path, script: str, given) -> object:
     """What a script prints in the version of this checkout, given this on its standard input."""
     if version != ROOT:
         for ours, theirs in IN_PRODUCTION.items():
@@ -103,30 +104,33 @@
     return json.loads(done.stdout)
 
 
-def here(data: dict) -> dict:
+def read_in_this_version(data: dict) -> dict:
     """What this version makes of records."""
-    return there(ROOT, READ, data)
+    return run_in_version(ROOT, READ, data)
 
 
 def test_the_checkout_is_the_version_in_production_and_not_this_one(production):
-    where = there(production, "import json, kelpjunction; print(json.dumps(kelpjunction.__file__))", None)
+    where = run_in_version(production, "import json, kelpjunction; print(json.dumps(kelpjunction.__file__))", None)
     assert Path(where).is_relative_to(production)
 
 
 @pytest.mark.parametrize("after", [1.0, 6.0, 11.0])
 @pytest.mark.parametrize("writer", ["this version", "production"])
 def test_records_mean_the_same_to_both(production, writer, after):
-    data = there(ROOT if writer == "this version" else production, PLAY, after)
-    ours = here(data)
+    data = run_in_version(ROOT if writer == "this version" else production, PLAY, after)
+    ours = read_in_this_version(data)
     assert len(ours) > 3 and any(counts[1] for counts, *_ in ours.values()) and ours["j-5"][1]
-    assert there(production, READ, data) == ours
+    assert run_in_version(production, READ, data) == ours
 
 
 def test_a_job_that_production_took_without_fields_that_are_asked_for_now_goes_on(production):
-    world = served()
+    world = ready_world()
     spec = {"ref": "j-1", "stripe": "c", "crew": "red", "shape": "batch", "urgency": "low", "fronds": 2, "cpus": 1.0}
     record = {"spec": spec | {"ram_gb": 1.0, "bundle": "i", "image_gb": 1.0}, "at": world.clock.utc().timestamp()}
-    assert there(production, READ, {"l/job/j-1": [record, 5]})["j-1"][2] == here({"l/job/j-1": [record, 5]})["j-1"][2]
+    assert (
+        run_in_version(production, READ, {"l/job/j-1": [record, 5]})["j-1"][2]
+        == read_in_this_version({"l/job/j-1": [record, 5]})["j-1"][2]
+    )
     assert world.leader().store.commit({"l/job/j-1": 0, "e/j-1": 0}, {"l/job/j-1": record}).revision
     assert world.run(30, lambda: "e/j-1" in world.store.data)
     world.jobs["j-1"] = record["spec"]
@@ -142,5 +146,5 @@
     fields |= {"mark_s": 5.0, "stow_s": 1.0} if shape == "ensemble" else {}
     row = ChunkDispatch(0, {0: DispatchTarget("a", "n-000001", attempt)}).row()
     page = {f"{DISPATCH_PREFIX}{'gang' if shape == 'ensemble' else 'array'}/0": {"j-1": {"0": row}}}
-    starts, machines, broken = there(production, START, [fields, page])
+    starts, machines, broken = run_in_version(production, START, [fields, page])
     assert (starts, len(machines), broken) == (["j-1/0"], 1, [])
--- a/tests/test_schedules.py
+++ b/tests/test_random_fault_schedules.py
@@ -3,8 +3,8 @@
 from collections import Counter
 
 import pytest
-from schedules import Schedule
-from traces import served, worker_of
+from fault_schedules import FaultSchedule
+from traces import ready_world, worker_of
 
 from kelpjunction.changes import ChangeTracker
 from kelpjunction.fleet.machines import MachineState
@@ -13,7 +13,7 @@
 from kelpjunction.placement import place
 
 
-def indexes(book: JobIndex) -> dict:
+def job_index_state(book: JobIndex) -> dict:
     """What the book keeps up to date change by change."""
     counts = {ref: tuple(job.counts) for ref, job in book.jobs.items()}
     loads = {n: (round(x.cpus, 6), round(x.memory, 6), +x.images, set(x.placements)) for n, x in book.loads.items()}
@@ -21,7 +21,7 @@
     return {"counts": counts, "loads": loads, "sets": sets, "held": dict(book.task_counts)}
 
 
-def reckoned_afresh(book: JobIndex) -> dict:
+def recomputed_state(book: JobIndex) -> dict:
     """The same from the chunks alone: state that is kept must equal its sum."""
     counts, loads, sets = {}, {}, [set(), set(), set(), set()]
     for ref, job in book.jobs.items():
@@ -47,7 +47,7 @@
     return {"counts": counts, "loads": rounded, "sets": sets, "held": dict(+held)}
 
 
-def kept_views(slice_, node) -> tuple[dict, dict]:
+def cached_and_rebuilt_views(slice_, node) -> tuple[dict, dict]:
     """The views that rounds keep, and the same made afresh."""
     made = [view for name in node.inventory.machines if (view := slice_._view(name)) is not None]
     both = []
@@ -56,7 +56,7 @@
     return both[0], both[1]
 
 
-def loaded_anew(world: World) -> JobIndex:
+def reloaded_job_index(world: World) -> JobIndex:
     """A book as a node that starts now would read it: in the order of the keys."""
     book = JobIndex(ChangeTracker())
     for key in sorted(k for k in world.store.data if k.startswith("l/")):
@@ -101,11 +101,14 @@
     for node in world.nodes.values():
         if node is not None:
             if node.mirror.revision == world.store.revision:
-                assert indexes(node.job_index) == indexes(loaded_anew(world)), (
+                assert job_index_state(node.job_index) == job_index_state(reloaded_job_index(world)), (
                     "who follows knows what who reads all does"
                 )
-            assert indexes(node.job_index) == reckoned_afresh(node.job_index)
-            for kept, made in (kept_views(node.holder_scheduler, node), kept_views(node.leader_scheduler, node)):
+            assert job_index_state(node.job_index) == recomputed_state(node.job_index)
+            for kept, made in (
+                cached_and_rebuilt_views(node.holder_scheduler, node),
+                cached_and_rebuilt_views(node.leader_scheduler, node),
+            ):
                 assert kept == made, "a machine changed and its view did not"
             check_states(node)
             if node.leadership.leader_term is not None:
@@ -114,7 +117,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_under_a_random_schedule_of_faults(seed):
-    world = Schedule(seed).play(check_indexes)
+    world = FaultSchedule(seed).play(check_indexes)
     assert world.broken == []
     open_arrays = [
         r for r, t in world.last_told_state.items() if t == "accepted" and world.jobs[r]["shape"] != "service"
@@ -126,7 +129,7 @@
 
 def test_the_checker_notices_a_broken_rule():
     """The random schedules mean something only if a service that breaks a rule is caught."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     other = next(w for w, _ in world.cloud.machines.values() if w is not worker_of(world, "j-1/0"))
--- a/tests/test_contact.py
+++ b/tests/test_reachability.py
@@ -2,7 +2,7 @@
 
 import orjson
 import pytest
-from traces import served, worker_of
+from traces import ready_world, worker_of
 
 from kelpjunction.clock import seconds
 from kelpjunction.fleet.machines import MachineState
@@ -20,7 +20,7 @@
     return [worker for worker, _ in world.cloud.machines.values()]
 
 
-def copy_of(worker) -> bytes:
+def report_copy(worker) -> bytes:
     """A report as the worker would send it now; only the copy of it ever arrives."""
     return orjson.dumps(worker.report())
 
@@ -29,8 +29,8 @@
 
 
 @pytest.mark.parametrize("one_way", MessageLoss)
-def test_machine_that_hears_nothing_gets_no_work_and_loses_its_own_to_others(one_way):
-    world = served(machines=6, capacity=6)
+def test_unreachable_machine_gets_no_work_and_its_tasks_move(one_way):
+    world = ready_world(machines=6, capacity=6)
     world.submit("j-1", 3, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     lost = worker_of(world, "j-1/0")
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("what", ["a zone", "all but one", "the only one"])
 def test_many_machines_that_hear_nothing_at_once(what):
     """Each 200 might renew a lease, so none is said to them: what they had is settled when the leases have ended."""
-    world = served(machines=1 if what == "the only one" else 9, capacity=12)
+    world = ready_world(machines=1 if what == "the only one" else 9, capacity=12)
     world.submit("j-1", 2, run_s=60.0)
     world.submit("j-2", 2, shape="ensemble", mark_s=5.0, stow_s=1.0, run_s=60.0)
     world.run(4)
@@ -62,7 +62,7 @@
 
 
 def test_machine_comes_back_into_use_after_round_trips_and_not_before():
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     worker = next(w for w in workers(world) if w.zone == "a")
     holder = holder_of(world, worker)
     holder.machine_monitor._looks_partitioned = lambda zone: True  # so that it is not returned meanwhile
@@ -80,12 +80,12 @@
 # Late copies
 
 
-def test_late_copy_settles_nothing_at_a_node_that_remembers_nothing():
+def test_late_report_copy_settles_nothing_after_node_restart():
     """Found by random schedules: a copy from before the worker's restart named a later message, and lacked the task."""
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     worker.sequence += 100
-    copy = copy_of(worker)
+    copy = report_copy(worker)
     worker.restart()
     world.run(10)
     world.submit("j-1", run_s=60.0, bay=worker.zone)
@@ -106,9 +106,9 @@
 
 
 def test_late_copy_revives_no_machine_that_was_returned():
-    world = served(machines=4, capacity=4)
+    world = ready_world(machines=4, capacity=4)
     worker = workers(world)[0]
-    copy = copy_of(worker)
+    copy = report_copy(worker)
     world.cloud.handle("POST", "/rentals/return", {"holdfasts": [worker.name]})
     for name in list(world.nodes):  # nodes that remember nothing
         world.kill_node(name)
@@ -124,10 +124,10 @@
     assert worker.name not in {v.name for v in holder.holder_scheduler._views()}
 
 
-def test_late_copy_renews_no_lease_and_no_silence():
-    world = served(machines=3, capacity=3)
+def test_late_report_copy_renews_no_lease_and_proves_nothing():
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
-    copy = copy_of(worker)
+    copy = report_copy(worker)
     world.run(6)
     holder = holder_of(world, worker)
     known = holder.worker_registry.workers[worker.name]
@@ -142,8 +142,8 @@
 
 
 @pytest.mark.parametrize("forgetful", [False, True])
-def test_worker_that_counts_from_the_beginning_again_is_told_from_a_copy_by_asking(forgetful):
-    world = served(machines=3, capacity=3)
+def test_restarted_worker_is_told_from_copy_by_probe(forgetful):
+    world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 2, run_s=30.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     worker = worker_of(world, "j-1/0")
@@ -162,7 +162,7 @@
 # The decision itself
 
 
-def test_contact_believes_round_trips():
+def test_reachability_tracker_trusts_round_trips():
     contact = ReachabilityTracker(seconds(2))
     assert contact.on_report((1, 1), seconds(0)) is Evidence.CLAIM, "the first report may be a copy"
     assert contact.on_response((1, 2), (1, 1), seconds(0)) == (Evidence.PROOF, False)
@@ -175,7 +175,7 @@
     assert contact.on_report((1, 6), seconds(9)) is Evidence.STALE, "copies of its life before may count higher"
 
 
-def test_contact_gives_up_and_takes_back_with_hysteresis():
+def test_reachability_tracker_has_hysteresis():
     contact = ReachabilityTracker(seconds(2))
     contact.on_response((1, 1), (0, 0), seconds(0))
     contact.on_no_response()
@@ -189,9 +189,9 @@
     assert contact.reachability is Reachability.REACHABLE
 
 
-def test_machine_behind_a_one_way_loss_is_named_for_what_it_is(caplog):
+def test_one_way_loss_is_logged_as_unreachable(caplog):
     caplog.set_level("INFO")
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     worker = workers(world)[0]
     worker.message_loss = MessageLoss.INBOUND_LOST
     holder = holder_of(world, worker)
@@ -203,7 +203,7 @@
 # Each of these stands for a guard that was taken out once, and that nothing else noticed
 
 
-def lost_machine(world):
+def unreachable_machine_with_task(world):
     """A machine that hears nothing, with a task, while nobody returns it; and its holder's worker."""
     world.submit("j-1", run_s=100.0)
     assert world.run(10, lambda: world.running("j-1") != [])
@@ -217,24 +217,24 @@
 
 
 def test_machine_that_hears_nothing_is_told_no_200_and_its_lease_ends_though_its_reports_go_on():
-    world = served(machines=3, capacity=3)
-    worker, holder, known = lost_machine(world)
+    world = ready_world(machines=3, capacity=3)
+    worker, holder, known = unreachable_machine_with_task(world)
     worker.step = lambda: None  # its reports are this trace's from here on
     answered = known.lease_renewed_at
     ended = answered + world.times.lease * 1.001 + seconds(1)
     while world.clock.now < ended - seconds(1):
         world.run(0.9)
-        assert holder.check_in(copy_of(worker))[0] == 503
+        assert holder.check_in(report_copy(worker))[0] == 503
         assert holder.job_index.jobs["j-1"].placed_count() == 1, "its lease may not have ended"
     assert known.lease_renewed_at == answered
     assert world.run(3, lambda: world.clock.now > ended and holder.job_index.placement(TaskId("j-1", 0)) is None)
 
 
 def test_copy_of_an_older_report_gets_no_200_though_its_worker_reports_on():
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     world.run(4)
-    copy = copy_of(worker)
+    copy = report_copy(worker)
     holder = holder_of(world, worker)
     number = holder.worker_registry.workers[worker.name].reachability_tracker.newest
     assert world.run(5, lambda: holder.worker_registry.workers[worker.name].reachability_tracker.newest > number)
@@ -243,12 +243,12 @@
     assert holder.check_in(copy)[0] == 503
 
 
-def test_higher_session_in_a_report_is_asked_about_before_it_is_believed():
-    world = served(machines=3, capacity=3)
+def test_higher_session_is_probed_before_believed():
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
     worker.session = 7
-    copy = copy_of(worker)
+    copy = report_copy(worker)
     worker.session = 1
     asked = []
     holder.worker_registry.probe = lambda machine, address: asked.append(address)
@@ -258,8 +258,8 @@
     assert asked == [worker.address]
 
 
-def test_task_of_a_life_that_its_workers_new_holder_never_knew_is_settled():
-    world = served(machines=3, capacity=3)
+def test_task_of_session_unknown_to_new_holder_is_settled():
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     worker.session = 5
     world.run(4)
@@ -274,8 +274,8 @@
     assert world.broken == []
 
 
-def test_machine_is_not_used_for_its_reports_alone_and_is_silent_without_answers():
-    world = served(machines=3, capacity=3)
+def test_machine_with_reports_but_no_responses_becomes_silent():
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
     holder.machine_monitor._looks_partitioned = lambda zone: True
@@ -286,7 +286,7 @@
     proved = known.reachability_tracker.proved_at
     while world.clock.now <= proved + limit + seconds(1):
         worker.sequence += 2  # as if it had been at another node between
-        holder.check_in(copy_of(worker))
+        holder.check_in(report_copy(worker))
         world.run(0.5)
     assert holder.inventory.machines[worker.name].state is MachineState.SILENT
     holder.inventory.machines[worker.name].state = MachineState.UP  # as if its state were not known here
@@ -294,9 +294,9 @@
     assert worker.name not in {v.name for v in holder.holder_scheduler._view_cache.fresh()}
 
 
-def test_machine_whose_report_is_late_and_that_answers_was_never_silent(caplog):
+def test_late_report_with_probe_response_is_not_silent(caplog):
     """Nine tenths of a log were machines that were silent for some milliseconds, until they answered."""
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     machine = holder_of(world, worker).inventory.machines[worker.name]
     caplog.set_level("INFO")
@@ -310,9 +310,9 @@
     assert f"machine {worker.name} (box, a): up -> silent, no report, and no answer" in caplog.messages
 
 
-def test_question_under_way_is_no_answer():
+def test_probe_in_progress_counts_as_no_response():
     """A neighbour's answer says whether a zone is cut: nobody may take a question for one."""
-    world = served(machines=3, capacity=3)
+    world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
     request, found = holder.worker_registry._request, []
@@ -327,9 +327,9 @@
     assert found == [None, True]
 
 
-def test_answer_to_a_question_settles_nothing_while_the_answer_to_a_report_may_still_start_it():
+def test_probe_settles_nothing_while_report_response_may_start_task():
     """Seen on a bench day: the question's answer overtook the report's, the task was settled, and then it started."""
-    world = served(machines=1, capacity=1)
+    world = ready_world(machines=1, capacity=1)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
     worker.step = lambda: None
@@ -339,7 +339,7 @@
     for node in world.nodes.values():
         node.watch_store()
     worker.token = holder.blocks.own_token(worker.zone)
-    status, answer = holder.check_in(copy_of(worker))
+    status, answer = holder.check_in(report_copy(worker))
     assert status == 200 and b"run" in answer, "this answer is under way"
     placement = next(holder.job_index.placements())
     holder.worker_registry.stop(placement, seconds(0), "a trace")
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -5,8 +5,8 @@
 
 import orjson
 import pytest
-from test_sessions import lease_ends, placed_and_not_started
-from traces import served, worker_of
+from test_stale_sessions import end_lease, worker_with_lost_start
+from traces import ready_world, worker_of
 
 from kelpjunction import logs
 from kelpjunction.cli.serve import dump_on_signal
@@ -21,16 +21,16 @@
 CHANGED = SessionChanged("n-1", 1, 2, 7, Evidence.PROOF, 5, 4)
 
 
-def kinds(node, kind) -> list:
+def events_of_kind(node, kind) -> list:
     return [event for _, event in node.recorder.events(lambda event: isinstance(event, kind))]
 
 
-def test_a_start_and_its_end_say_on_what_they_rest():
-    world = served()
+def test_start_and_settled_events_name_their_evidence():
+    world = ready_world()
     world.submit("j-1", run_s=2.0)
     assert world.run(20, lambda: world.poll("j-1") == "done")
-    holder = next(n for n in world.nodes.values() if kinds(n, StartSaid))
-    (start,), (end,) = kinds(holder, StartSaid), kinds(holder, Settled)
+    holder = next(n for n in world.nodes.values() if events_of_kind(n, StartSaid))
+    (start,), (end,) = events_of_kind(holder, StartSaid), events_of_kind(holder, Settled)
     assert (start.task, start.attempt, start.way, start.session) == (TASK, 1, Way.DIRECT, 1)
     assert start.token == holder.blocks.own_token(holder.inventory.machines[start.machine].zone)
     assert start.version > 0
@@ -43,22 +43,22 @@
 
 def test_a_session_that_ends_is_in_the_log_and_settles_by_that_ground(caplog):
     caplog.set_level(logging.INFO)
-    world = served()
-    worker = placed_and_not_started(world, "a")
-    lease_ends(worker)
+    world = ready_world()
+    worker = worker_with_lost_start(world, "a")
+    end_lease(worker)
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant("a"))
-    assert world.run(20, lambda: kinds(holder, SessionChanged) != [])
-    (changed,) = kinds(holder, SessionChanged)
+    assert world.run(20, lambda: events_of_kind(holder, SessionChanged) != [])
+    (changed,) = events_of_kind(holder, SessionChanged)
     assert (changed.machine, changed.before, changed.session, changed.evidence) == (worker.name, 1, 2, Evidence.PROOF)
     assert str(changed) in caplog.messages
-    assert Ground.SESSION_ENDED in {event.ground for event in kinds(holder, Settled)}
-    assert kinds(holder, SessionBelieved)[0].before == 0
+    assert Ground.SESSION_ENDED in {event.ground for event in events_of_kind(holder, Settled)}
+    assert events_of_kind(holder, SessionBelieved)[0].before == 0
 
 
-def test_what_can_not_be_is_written_out_with_what_led_to_it(caplog):
+def test_contradiction_is_logged_with_preceding_decisions(caplog):
     """An attempt that was settled is proved to run: what was decided of it is in the log, whatever its level."""
     caplog.set_level(logging.ERROR)
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
@@ -69,7 +69,7 @@
     holder.job_index.settled.clear()
     holder.job_index._drop(placement)
     holder.worker_registry.probe(worker.name, worker.address)
-    (finding,) = kinds(holder, Impossible)
+    (finding,) = events_of_kind(holder, Impossible)
     assert (finding.task, finding.machine, finding.finding) == (TASK, worker.name, "it was settled before")
     written = "\n".join(caplog.messages)
     assert "StartSaid task=j-1/0 attempt=1" in written
@@ -77,9 +77,9 @@
 
 
 @pytest.mark.parametrize(("attempt", "found"), [(1, True), (3, False)])
-def test_an_earlier_attempt_beside_one_that_was_seen_can_not_be_and_a_later_one_is_news(attempt, found):
+def test_only_earlier_attempt_beside_reported_one_is_contradiction(attempt, found):
     """A node that is cut off from the state service learns of later attempts from workers first."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant(worker_of(world, "j-1/0").zone))
@@ -88,7 +88,7 @@
     told = TaskReport(TASK, attempt, TaskState.RUNNING, None, False)
     report = Report("n-9", "10.1.0.9:9000", "box", "a", False, 1, 1, 0, None, (told,))
     holder.worker_registry.decisions.check_possible(report, told)
-    assert [f.finding for f in kinds(holder, Impossible)] == ([f"attempt 2 is on {placement.machine}"] * found)
+    assert [f.finding for f in events_of_kind(holder, Impossible)] == ([f"attempt 2 is on {placement.machine}"] * found)
 
 
 def test_many_findings_at_once_are_written_out_once(caplog):
--- a/tests/test_answers.py
+++ b/tests/test_report_responses.py
@@ -31,7 +31,7 @@
     return made
 
 
-def told(state: TaskState, attempt: int = 3) -> TaskReport:
+def task_report(state: TaskState, attempt: int = 3) -> TaskReport:
     return TaskReport(TASK, attempt, state, None, False)
 
 
@@ -79,9 +79,9 @@
         (None, TaskState.EXITED, [Verb.FORGET]),
     ],
 )
-def test_what_an_answer_says(stands, reported, verbs):
+def test_build_response_commands(stands, reported, verbs):
     here = {} if stands is None else {TASK: stands}
-    tasks = [] if reported is None else [told(reported)]
+    tasks = [] if reported is None else [task_report(reported)]
     said = build_response(2, tasks, here, Counter(), no_start_in_flight=True)
     assert [command.verb for command in said.commands] == verbs
     assert said.starts == ([stands] if Verb.START in verbs else [])
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize(("sending", "no_start_under_way"), [(Counter({(TASK, 3): 1}), True), (Counter(), False)])
-def test_nothing_is_forgotten_while_a_start_of_it_may_arrive(sending, no_start_under_way):
-    assert build_response(2, [told(TaskState.EXITED)], {}, sending, no_start_under_way).commands == []
+def test_no_forget_command_while_start_may_arrive(sending, no_start_under_way):
+    assert build_response(2, [task_report(TaskState.EXITED)], {}, sending, no_start_under_way).commands == []
 
 
 @pytest.mark.parametrize(
@@ -103,7 +103,7 @@
         (Evidence.CLAIM, 2, placement(seen=True), None),  # what a claim lacks settles nothing
     ],
 )
-def test_what_a_message_says_of_a_task_that_it_does_not_list(evidence, known_session, stands, field):
+def test_assess_report_of_unlisted_placement(evidence, known_session, stands, field):
     reading = assess_report(report(), evidence, known_session, {TASK: stands})
     assert reading.believed
     assert reading.needs_probe is (evidence is Evidence.CLAIM)
@@ -122,15 +122,15 @@
     ],
 )
 @pytest.mark.parametrize("evidence", [Evidence.CLAIM, Evidence.SUCCESSOR])
-def test_what_a_report_lacks_is_asked_about(evidence, stands, ask):
+def test_unlisted_placement_needs_probe(evidence, stands, ask):
     assert assess_report(report(), evidence, 2, {TASK: stands}).needs_probe is ask
 
 
 @pytest.mark.parametrize(
     ("evidence", "ends"), [(Evidence.CLAIM, False), (Evidence.SUCCESSOR, True), (Evidence.PROOF, True)]
 )
-def test_an_exit_that_may_be_of_an_earlier_life_is_asked_about(evidence, ends):
-    reading = assess_report(report(tasks=(told(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)})
+def test_unproved_exit_needs_probe(evidence, ends):
+    reading = assess_report(report(tasks=(task_report(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)})
     assert (len(reading.listed), reading.needs_probe) == ((1, False) if ends else (0, True))
     assert reading.missing == []
 
@@ -145,7 +145,9 @@
         (Evidence.PROOF, 1, True, False),
     ],
 )
-def test_which_message_counts(evidence, known_session, believed, ask):
-    reading = assess_report(report(tasks=(told(TaskState.RUNNING),)), evidence, known_session, {TASK: placement()})
+def test_report_is_believed_by_evidence_and_session(evidence, known_session, believed, ask):
+    reading = assess_report(
+        report(tasks=(task_report(TaskState.RUNNING),)), evidence, known_session, {TASK: placement()}
+    )
     assert (reading.believed, reading.needs_probe) == (believed, ask)
     assert [p.attempt for p, _ in reading.listed] == ([3] if believed else [])
--- a/tests/test_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,24 +1,24 @@
 """Schedules and traces mean something only if the checker notices a breach of each rule of PROTOCOL."""
 
 import pytest
-from traces import served, worker_of
+from traces import ready_world, worker_of
 
 from kelpjunction.lab.world import World, seconds
 
 
-def rules(world: World) -> set[str]:
+def broken_rules(world: World) -> set[str]:
     return {broken.split(":")[0] for broken in world.broken}
 
 
-def running(**fields) -> World:
-    world = served()
+def world_with_running_job(**fields) -> World:
+    world = ready_world()
     world.submit("j-1", fields.pop("tasks", 2), run_s=60.0, cpus=1.0, **fields)
     assert world.run(20, lambda: len(world.running("j-1")) == world.jobs["j-1"]["fronds"])
     assert world.broken == []
     return world
 
 
-def start(world: World, ref: str, index: int, zone: str = "", attempt: int = 9) -> None:
+def force_start(world: World, ref: str, index: int, zone: str = "", attempt: int = 9) -> None:
     """Start a task where its node did not choose to."""
     on = {m for f, m in world.running() if f == f"{ref}/{index}"}
     there = [w for w, _ in world.cloud.machines.values() if w.name not in on and zone in ("", w.zone)]
@@ -26,21 +26,21 @@
 
 
 def test_ran_twice():
-    world = running()
-    start(world, "j-1", 0)
-    assert rules(world) == {"ran_twice"}
+    world = world_with_running_job()
+    force_start(world, "j-1", 0)
+    assert broken_rules(world) == {"ran_twice"}
 
 
 def test_quota():
-    world = running(tasks=40)  # all that its team may have
+    world = world_with_running_job(tasks=40)  # all that its team may have
     world.submit("j-2", cpus=1.0)
-    start(world, "j-2", 0)
-    assert rules(world) == {"quota"}
+    force_start(world, "j-2", 0)
+    assert broken_rules(world) == {"quota"}
 
 
 @pytest.mark.parametrize("how", ["spot", "zone", "together", "apart"])
 def test_wrong_place(how):
-    world = served()
+    world = ready_world()
     fields = {
         "spot": {"driftwood": False},
         "zone": {"bay": "a"},
@@ -51,11 +51,11 @@
     if how == "spot":
         world.cloud.add("a", True, world.clock.now).execute([{"verb": "run", "frond": "j-1/0", "launch": 1}])
     elif how == "zone":
-        start(world, "j-1", 0, zone="b")
+        force_start(world, "j-1", 0, zone="b")
     else:
-        start(world, "j-1", 0, zone="a")
-        start(world, "j-1", 1, zone="b" if how == "together" else "a")
-    assert rules(world) == {"wrong_place"}
+        force_start(world, "j-1", 0, zone="a")
+        force_start(world, "j-1", 1, zone="b" if how == "together" else "a")
+    assert broken_rules(world) == {"wrong_place"}
 
 
 def _job(fields: dict) -> dict:
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("late", [39.8, 40.2])
 def test_ran_cancelled(late):
-    world = running()
+    world = world_with_running_job()
     worker = worker_of(world, "j-1/0")
     task = dict(worker.tasks["j-1/0", 1])
     assert world.abort("j-1") == 200
@@ -74,12 +74,12 @@
     world.run((told + seconds(late) - world.clock.now).total_seconds())
     worker.tasks["j-1/0", 1] = task
     world._check_cancelled("j-1")
-    assert rules(world) == ({"ran_cancelled"} if late > world.times.cancel.total_seconds() else set())
+    assert broken_rules(world) == ({"ran_cancelled"} if late > world.times.cancel.total_seconds() else set())
 
 
 @pytest.mark.parametrize("how", ["404", "422", "201"])
 def test_forgotten(how):
-    world = running()
+    world = world_with_running_job()
     keys = [k for k in world.store.data if "/j-1" in k]
     if how == "422":
         world.ask = lambda *_: (422, {})
@@ -92,28 +92,28 @@
             world.store.handle("POST", "/commit", {"guards": [], "then": [{"delete": key}]})
         world.run(1)
         assert world.poll("j-1") is None
-    assert rules(world) == {"forgotten"}
+    assert broken_rules(world) == {"forgotten"}
 
 
 def test_invented():
-    world = running()
+    world = world_with_running_job()
     assert world.poll("j-2") is None
     assert world.broken == []
     world.ask = lambda *_: (200, {"ref": "j-2", "tide": "pending"})
     world.poll("j-2")
-    assert rules(world) == {"invented"}
+    assert broken_rules(world) == {"invented"}
 
 
 def test_not_done():
-    world = running()
+    world = world_with_running_job()
     world.ask = lambda *_: (200, {"ref": "j-1", "tide": "done"})
     world.poll("j-1")
-    assert rules(world) == {"not_done"}
+    assert broken_rules(world) == {"not_done"}
 
 
 @pytest.mark.parametrize(("told", "then"), [("done", "running"), ("withdrawn", "done"), ("accepted", "withdrawn")])
 def test_went_back(told, then):
-    world = running()
+    world = world_with_running_job()
     world.finished |= {"j-1/0", "j-1/1"}
     for state in (told, then):
         if state != "accepted":
@@ -121,4 +121,4 @@
             if told == "withdrawn" and state == told:
                 world.abort("j-1")
             world.poll("j-1")
-    assert rules(world) == {"went_back"}
+    assert broken_rules(world) == {"went_back"}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -102,7 +102,7 @@
 JOB = {"ref": "j-1", "crew": "red", "shape": "batch", "fronds": 2, "cpus": 2.0, "bay": None}
 
 
-def watched(**job) -> Checker:
+def checker_with_job(**job) -> Checker:
     """A checker that knows one job, two machines and two processes, which have told all up to 0."""
     checker = Checker({"red": 3.0}, cancel_s=10.0)
     for name in ("one", "two"):
@@ -113,57 +113,57 @@
     return checker
 
 
-def start(at: float, machine: str, frond: str = "j-1/0") -> TaskEvent:
+def start_event(at: float, machine: str, frond: str = "j-1/0") -> TaskEvent:
     return TaskEvent(at, EventKind.STARTED, machine, frond)
 
 
-def gone(at: float, machine: str, frond: str = "j-1/0", cause: str = "stopped") -> TaskEvent:
+def exit_event(at: float, machine: str, frond: str = "j-1/0", cause: str = "stopped") -> TaskEvent:
     return TaskEvent(at, EventKind.EXITED, machine, frond, cause)
 
 
-def test_a_start_elsewhere_after_an_exit_that_is_told_later_breaks_nothing():
+def test_checker_orders_events_by_time_not_arrival():
     """Two processes tell at different times; what counts is when it happened."""
-    checker = watched()
-    checker.told_upto("two", 9.0, [start(5.0, "n-2")])
+    checker = checker_with_job()
+    checker.told_upto("two", 9.0, [start_event(5.0, "n-2")])
     assert checker.starts == 0
-    checker.told_upto("one", 9.0, [start(1.0, "n-1"), gone(4.0, "n-1")])
+    checker.told_upto("one", 9.0, [start_event(1.0, "n-1"), exit_event(4.0, "n-1")])
     assert (checker.broken, checker.starts, checker.running) == ([], 2, 1)
 
 
 def test_a_task_on_two_machines_and_a_team_above_its_limit_are_noticed():
-    checker = watched()
-    checker.told_upto("one", 9.0, [start(1.0, "n-1")])
-    checker.told_upto("two", 9.0, [start(2.0, "n-2")])
+    checker = checker_with_job()
+    checker.told_upto("one", 9.0, [start_event(1.0, "n-1")])
+    checker.told_upto("two", 9.0, [start_event(2.0, "n-2")])
     assert checker.broken == ["ran_twice: j-1/0 on n-2 while on ['n-1']", "quota: red uses 4.0 of 3.0"]
 
 
 def test_a_machine_that_lost_all_its_tasks_holds_none():
-    checker = watched()
-    checker.told_upto("one", 3.0, [start(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
-    checker.told_upto("two", 9.0, [start(2.5, "n-2")])
+    checker = checker_with_job()
+    checker.told_upto("one", 3.0, [start_event(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
+    checker.told_upto("two", 9.0, [start_event(2.5, "n-2")])
     checker.told_upto("one", 9.0, [])
     assert (checker.broken, checker.running) == ([], 1)
 
 
 def test_what_a_cancelled_job_may_not_do_is_noticed():
-    checker = watched()
+    checker = checker_with_job()
     checker.asked_to_cancel("j-1")
-    checker.told_upto("one", 2.0, [start(1.0, "n-1")])
+    checker.told_upto("one", 2.0, [start_event(1.0, "n-1")])
     checker.answered(2.0, "j-1", 200, "withdrawn")
     checker.told_upto("two", 11.0, [])
     checker.told_upto("one", 11.0, [])
     checker.check_cancelled(11.0)
     assert checker.broken == []
     checker.told_upto("two", 13.0, [])
-    checker.told_upto("one", 13.0, [start(12.5, "n-1", "j-1/1")])
+    checker.told_upto("one", 13.0, [start_event(12.5, "n-1", "j-1/1")])
     checker.check_cancelled(13.0)
     assert checker.broken == [
         "quota: red uses 4.0 of 3.0", "ran_cancelled: j-1/1 started", "ran_cancelled: j-1 is still on n-1",
     ]  # fmt: skip
 
 
-def test_answers_that_can_not_be_are_noticed():
-    checker = watched()
+def test_checker_detects_contradictory_responses():
+    checker = checker_with_job()
     for at, ref, status, state in (
         (1.0, "j-1", 201, "pending"), (2.0, "j-1", 200, "done"), (3.0, "j-1", 404, None),
         (4.0, "j-1", 200, "running"), (5.0, "j-9", 200, "pending"), (6.0, "j-1", 422, None),
--- a/tests/test_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -48,7 +48,7 @@
     assert in_order(jobs, NOW, timedelta(seconds=30)) == ["j-service", "j-array", "j-served"]
 
 
-def test_swarm_of_one_teams_services_does_not_outrun_a_gang_for_long():
+def test_many_services_of_one_team_do_not_starve_a_gang():
     teams = {"red": Team("red", 4, 0, None, None), "blue": Team("blue", 4, 0, None, None)}
     came = {f"j-{i}": NOW - timedelta(seconds=60 - i) for i in range(60)}
     claims = {"red": [JobDemand(ref, 2.0, 0.0) for ref in came], "blue": [JobDemand("j-gang", 4.0, 0.0)]}
@@ -65,7 +65,7 @@
     assert alone[-1] == "j-gang", "without shares the gang would be last"
 
 
-def test_team_room_counts_what_is_held_and_none_means_no_limit():
+def test_team_limit_counts_usage_and_none_means_unlimited():
     teams = {"red": Team("red", 4, 0, 10, None), "blue": Team("blue", 4, 0, None, None)}
     usage = Usage(teams)
     usage.add("red", 2.0, 0.0, 4)
@@ -87,7 +87,7 @@
     assert chosen[0].name == "n-2"
 
 
-def test_plain_work_leaves_the_room_that_accelerator_work_needs():
+def test_cpu_work_leaves_capacity_reserved_for_gpu_work():
     box = view("n-1", GPU)
     box.reserve_for_job(job(cpus=43.0, accelerators=4.0, ram_gb=310.0))
     assert len(place(job(fronds=9), 9, [box], Counter(), Counter())) == 2
@@ -118,7 +118,7 @@
     assert [v.placement for v in chosen] == ["short"]
 
 
-def test_renting_takes_the_cheapest_shared_out_over_zones_and_counts_what_is_coming():
+def test_plan_rentals_takes_cheapest_across_zones_and_counts_pending():
     catalog = {"small": SMALL, "gpu": GPU}
     want = [CapacityRequest(job(driftwood=True), 12)]
     requests = plan_rentals(want, catalog, {}, set(), {"a": 2, "b": 1}, most=50)
@@ -126,7 +126,7 @@
     assert plan_rentals(want, catalog, {"small": 3}, set(), {}, most=50) == []
 
 
-def test_small_jobs_share_what_is_rented_and_what_is_coming():
+def test_plan_rentals_packs_small_jobs_onto_shared_machines():
     """Counted on a day of the fleet: some 200 requests, most for one machine, since each job asked for its own."""
     catalog = {"small": SMALL, "gpu": GPU}
     wants = [CapacityRequest(job(f"j-{n}"), 1) for n in range(12)]
@@ -134,7 +134,7 @@
     assert sum(r.count for r in requests) == 2, "four tasks to a machine, and one machine is on its way"
 
 
-def test_types_take_turns_and_a_gang_of_one_zone_is_not_parted():
+def test_plan_rentals_alternates_types_and_keeps_one_zone_gang_together():
     """Counted on a day of the fleet: 25 gangs waited 40 s until small machines had all been asked for."""
     catalog = {"small": SMALL, "gpu": GPU}
     taken = {Offer("small", "a", True)}
@@ -148,7 +148,7 @@
     assert [(r.offer.type, r.count) for r in requests] == [("small", 1), ("gpu", 2), ("small", 1)]
 
 
-def test_dear_room_is_not_rented_for_work_that_no_objective_names():
+def test_expensive_machines_are_not_rented_without_objective():
     catalog = {"small": SMALL, "gpu": GPU}
     taken = {Offer("small", z, s) for z in ("a", "b") for s in (False, True)}
     assert (
@@ -162,7 +162,7 @@
     assert sum(r.count for r in requests) == 5
 
 
-def test_arrays_take_dear_room_last_and_not_at_all_where_it_is_not_worth_it():
+def test_arrays_use_expensive_machines_last_or_never():
     views = [view("n-1", GPU), view("n-2")]
     chosen = place(job(fronds=9), 9, views, Counter(), Counter(), PriceLimit(0.1, False))
     assert [v.name for v in chosen] == ["n-2"] * 4 + ["n-1"] * 5
@@ -171,7 +171,7 @@
     assert [v.name for v in chosen] == ["n-2"] * 4
 
 
-def test_an_array_waits_for_spot_machines_before_dear_ones_of_the_type_are_rented():
+def test_patient_array_waits_for_spot_before_on_demand():
     catalog = {"small": replace(SMALL, price=3.0, spot_price=1.0)}
     gone = {Offer("small", zone, True) for zone in SMALL.zones}
     want = CapacityRequest(job(driftwood=True), 12)
@@ -183,7 +183,7 @@
     )
 
 
-def test_replicas_fill_boxes_with_accelerators_and_are_levelled_out_over_plain_machines():
+def test_replicas_pack_gpu_machines_and_spread_over_cpu_machines():
     views = [view("n-1", GPU), view("n-2", GPU), view("n-3"), view("n-4")]
     views[1].allocate(job(accelerators=1.0, cpus=1.0, bundle="other"))
     service = job(shape="service", urgency="prod", accelerators=1.0, cpus=1.0)
@@ -193,7 +193,7 @@
     assert [v.name for v in place(plain, 1, views[2:], Counter(), Counter())] == ["n-4"]
 
 
-def test_large_jobs_that_waited_long_come_behind_services_and_before_all_others_the_oldest_first():
+def test_escalated_jobs_order_after_services_oldest_first():
     def at(s):
         return NOW - timedelta(seconds=s)
 
@@ -207,7 +207,7 @@
     assert in_order(jobs, NOW, timedelta(seconds=30)) == ["j-service", "j-gang", "j-giant", "j-array", "j-old-service"]
 
 
-def test_a_job_presses_while_it_is_large_for_its_class_and_has_not_begun_whole():
+def test_job_is_escalated_while_large_and_not_fully_started():
     giants = LargeJobs({"red": Team("red", 4, 0, 100, None), "guest": Team("guest", 0, 0, None, None)})
     large, small = job(fronds=90), job("j-2", fronds=30)
     giants.note([large, small])
--- a/tests/test_attendance.py
+++ b/tests/test_service_checks.py
@@ -1,13 +1,13 @@
 """The checks of whole runs mean something only if each notices its breach."""
 
-from traces import served
+from traces import ready_world
 
 from kelpjunction.clock import seconds
 from kelpjunction.wire.users import JOBS_PATH
 
 
 def test_check_notices_a_job_that_nobody_answers_about():
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=200.0)
     world.submit("j-2", run_s=200.0)
     for node in world.nodes.values():
@@ -24,7 +24,7 @@
 
 
 def test_check_notices_classes_teams_and_largest_jobs_that_are_not_served():
-    world = served(machines=2, capacity=2)
+    world = ready_world(machines=2, capacity=2)
     world.submit("j-1", run_s=5.0, stripe="small", crew="blue")
     world.submit("j-2", run_s=5.0, stripe="large", crew="red")
     world.submit("j-3", 8, cpus=4.0, shape="ensemble", stripe="large", crew="red", mark_s=5.0, stow_s=1.0)
--- a/tests/test_sessions.py
+++ b/tests/test_stale_sessions.py
@@ -25,16 +25,16 @@
 
 import orjson
 import pytest
-from schedules import Schedule
-from traces import served, worker_of
+from fault_schedules import FaultSchedule
+from traces import ready_world, worker_of
 
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.lab.world import World
 
-BROKE = [2032, 2041, 2061, 2076, 2166, 2219, 2226]  # schedules that broke the rule before the repair
+REGRESSION_SEEDS = [2032, 2041, 2061, 2076, 2166, 2219, 2226]  # schedules that broke the rule before the repair
 
 
-class LateQuestions:
+class DelayedExchanges:
     """A holder's node whose exchanges with workers wait until they are let go, as in a process that is busy."""
 
     def __init__(self, world: World, zone: str) -> None:
@@ -49,14 +49,14 @@
             function(*args)
 
 
-class Carrying:
+class TransportWrapper:
     """A node's transport that does this with each request."""
 
     def __init__(self, request: Callable) -> None:
         self.request = request
 
 
-def placed_and_not_started(world: World, zone: str) -> WorkerStandIn:
+def worker_with_lost_start(world: World, zone: str) -> WorkerStandIn:
     """A worker with a placement whose start was lost; its reports are the trace's from here on."""
     world.filter = lambda source, target, path: "lost" if path in ("/commands", "/checkin") else None
     world.submit("j-1", run_s=30.0, bay=zone)
@@ -66,7 +66,7 @@
     return world.cloud.machines[machine][0]
 
 
-def lease_ends(worker: WorkerStandIn) -> None:
+def end_lease(worker: WorkerStandIn) -> None:
     """As `WorkerStandIn.step` does it: everything is killed, and the next session begins."""
     worker.session += 1
     worker._clear()
@@ -82,11 +82,11 @@
     return status, answer
 
 
-def test_a_start_is_said_to_no_later_session_than_its_placement_was_written_for():
-    world = served(machines=6, capacity=6)
-    worker = placed_and_not_started(world, "a")
-    late = LateQuestions(world, worker.zone)
-    lease_ends(worker)
+def test_start_is_not_sent_to_later_session():
+    world = ready_world(machines=6, capacity=6)
+    worker = worker_with_lost_start(world, "a")
+    late = DelayedExchanges(world, worker.zone)
+    end_lease(worker)
     world.filter = lambda source, target, path: "lost" if (source, path) == (worker.name, "/checkin") else None
     report_to(late.node, worker)
     late.let_go()
@@ -103,7 +103,7 @@
     confirmed the machine's return, and the answer that came then made it known again and "up", for work to be
     placed on nothing.
     """
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     machine = next(iter(world.cloud.machines))
     holder = next(n for n in world.nodes.values() if machine in n.worker_registry.workers)
     address = holder.inventory.machines[machine].address
@@ -116,7 +116,7 @@
         holder.inventory._forget(machine, world.clock.now)
         return reply
 
-    holder.worker_registry._transport = Carrying(return_meanwhile)
+    holder.worker_registry._transport = TransportWrapper(return_meanwhile)
     assert not holder.worker_registry.probe(machine, address), (
         "it is no neighbour either, by whose answer a cut is told"
     )
@@ -125,16 +125,16 @@
     assert machine not in holder.worker_registry.workers
 
 
-def test_a_placement_of_an_earlier_session_is_asked_about_until_an_answer_settles_it():
+def test_placement_of_earlier_session_is_probed_until_settled():
     """Found by a soak of restarts: a replica stood in the records for 299 s, and was on no machine.
 
     A new holder asked the worker on its first report, and the next report overtook the answer, which then settled
     nothing; every later report was just the next number, so nobody was asked again; and no start could be said,
     since the placement was written for a session that had ended.
     """
-    world = served(machines=6, capacity=6)
-    worker = placed_and_not_started(world, "a")
-    lease_ends(worker)
+    world = ready_world(machines=6, capacity=6)
+    worker = worker_with_lost_start(world, "a")
+    end_lease(worker)
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant("a"))
     holder.worker_registry.clear("a")
     usual = holder.worker_registry._transport
@@ -145,27 +145,27 @@
         report_to(holder, worker)
         return reply
 
-    holder.worker_registry._transport = Carrying(overtaken)
+    holder.worker_registry._transport = TransportWrapper(overtaken)
     report_to(holder, worker)
     assert holder.worker_registry._transport is usual, "it was asked once"
     assert world.run(60, lambda: world.poll("j-1") == "done")
     assert world.broken == []
 
 
-@pytest.mark.parametrize("seed", BROKE)
-def test_schedules_that_broke_the_rule(seed):
-    world = Schedule(seed, interleaved=True).play(lambda world: None)
+@pytest.mark.parametrize("seed", REGRESSION_SEEDS)
+def test_regression_seeds_break_no_rule(seed):
+    world = FaultSchedule(seed, interleaved=True).play(lambda world: None)
     assert world.broken == []
 
 
-def test_an_exit_told_by_a_copy_from_an_earlier_life_ends_no_attempt_that_runs_again():
+def test_exit_in_stale_report_copy_does_not_settle_running_attempt():
     """Found on rereading, not in the records: the same class, in what is believed of a report that may be a copy.
 
     An attempt ended in a worker's earlier life, which no controller heard of; all controllers and the worker's process
     were started again, and the new holder said the start again, as it must.  A copy of the old report, with a higher
     number than any of the new life, tells the exit once more: the attempt that runs is settled, and launched anew.
     """
-    world = served(machines=6, capacity=6)
+    world = ready_world(machines=6, capacity=6)
     world.submit("j-1", run_s=60.0, bay="a")
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
--- a/tests/test_gateway.py
+++ b/tests/test_ticket_gateway.py
@@ -50,7 +50,7 @@
     return world.ask_gateway("show", run, gateway)[1].get("state")
 
 
-def ended(world: TicketWorld, run: str, within: float = 90.0) -> dict:
+def await_end(world: TicketWorld, run: str, within: float = 90.0) -> dict:
     assert world.run(within, lambda: state(world, run) in ("done", "failed", "cancelled")), state(world, run)
     return world.ask_gateway("show", run)[1]
 
@@ -67,7 +67,7 @@
     world = farm()
     status, answer = submit(world, ticket(kind, "once", 1, tasks=70 if kind == "wide" else 2))
     assert (status, answer["state"]) == (201, "pending")
-    final = ended(world, answer["ticket"])
+    final = await_end(world, answer["ticket"])
     assert final["state"] == "done"
     assert set(final["steps"]) == {"done"}
     assert all(state(world, answer["ticket"], name) == "done" for name in world.gateways)
@@ -96,7 +96,7 @@
         world.run(4)
         for name in [n for n, g in world.gateways.items() if g is None]:
             world.start_gateway(name)
-    assert ended(world, "chain-1.1")["state"] == "done"
+    assert await_end(world, "chain-1.1")["state"] == "done"
 
 
 def test_a_gateway_that_stood_still_can_not_start_a_step_of_a_cancelled_ticket():
@@ -119,7 +119,7 @@
     assert all(state(world, "chain-1", name) == "cancelled" for name in world.gateways)
 
 
-def test_a_gateway_that_lags_tells_nothing_older_than_what_was_told():
+def test_lagging_gateway_reports_no_stale_state():
     world = farm()
     submit(world, ticket("chain", "once", 1, run=20.0))
     world.run(2)
@@ -190,13 +190,13 @@
         assert submit(world, fields)[0] == (200 if whole else 201)
         assert len(records(world, TICKET_PREFIX, "t/end/")) == 1
         if at == 3 and not whole:
-            assert ended(world, "long-1.1", 200)["state"] == "done"
+            assert await_end(world, "long-1.1", 200)["state"] == "done"
             world.run(330)
             assert records(world, PART_PREFIX, STAGE_PREFIX) == [], "what was staged in vain is gone"
     assert crashes >= 6
 
 
-def test_a_plan_that_was_swept_while_its_gateway_stood_still_is_staged_anew():
+def test_swept_plan_of_paused_gateway_is_staged_again():
     """Its gateway stops before it accepts, and the parts are gone by then: the acceptance must fail."""
     world = farm(machines=3)
     fields = ticket("long", "once", 1, tasks=1)
@@ -216,7 +216,7 @@
     assert (status, waited) == (201, ["/commit"])
     token = world.store.data["t/l/ticket/long-1.1"][0]["plan"][0]
     assert all(token in key for key in records(world, PART_PREFIX, STAGE_PREFIX))
-    assert ended(world, "long-1.1")["state"] == "done"
+    assert await_end(world, "long-1.1")["state"] == "done"
 
 
 @pytest.mark.parametrize(
@@ -239,7 +239,7 @@
     assert records(world) == []
 
 
-def test_a_step_whose_job_no_record_holds_is_refused():
+def test_step_with_too_large_job_record_is_refused():
     world = farm(machines=3)
     fields = ticket("single", "once", 1)
     types = ["box", *(f"m{n:060d}" for n in range(49))]
@@ -334,22 +334,22 @@
     world = farm()
     fields = ticket("failing", "after-failure", 1)
     assert submit(world, fields)[0] == 201
-    first = ended(world, "failing-1.1")
+    first = await_end(world, "failing-1.1")
     assert first["state"] == "failed"
     assert first["failure"]["step"] == "a"
     assert first["failure"]["unfinished"] == 3
     assert submit(world, fields)[1] == {"ticket": "failing-1.2", "state": "pending"}
-    ended(world, "failing-1.2")
+    await_end(world, "failing-1.2")
     assert submit(world, fields)[1]["ticket"] == "failing-1.2"
     assert world.ask_gateway("show", "failing-1.1")[1] == first
 
 
-def test_what_is_remembered_is_forgotten_after_its_window():
+def test_ticket_records_are_removed_after_remember_window():
     short = ticket_class("once", RerunPolicy.ONCE, remember=timedelta(seconds=60))
     world = farm(classes={"once": short}, machines=3)
     fields = ticket("single", "once", 1)
     submit(world, fields)
-    ended(world, "single-1.1")
+    await_end(world, "single-1.1")
     assert submit(world, fields)[0] == 200
     for name in world.gateways:  # the memory survives all of them
         world.gateways[name] = None
@@ -425,7 +425,7 @@
 def test_a_ticket_that_is_done_can_not_be_cancelled():
     world = farm()
     submit(world, ticket("single", "once", 1))
-    done = ended(world, "single-1")
+    done = await_end(world, "single-1")
     assert world.ask_gateway("cancel", "single-1") == (200, done)
 
 
@@ -434,7 +434,7 @@
     submit(world, ticket("chain", "once", 1, run=20.0))
     job = world.ask_gateway("show", "chain-1")[1]["steps"][0]["job"]
     assert world.abort(job) == 200
-    failure = ended(world, "chain-1")["failure"]
+    failure = await_end(world, "chain-1")["failure"]
     assert (failure["step"], "cancelled by somebody else" in failure["why"]) == ("a", True)
 
 
@@ -450,10 +450,10 @@
         submit(world, fields)
         first = world.ask_gateway("show", "diamond-1")[1]["steps"][0]["job"]
         world.jobs[first] = world.job(first) | {"bundle": BROKEN_IMAGE}
-        assert ended(world, "diamond-1", 150)["steps"] == others
+        assert await_end(world, "diamond-1", 150)["steps"] == others
 
 
-def test_while_the_state_service_is_out_everything_is_told_to_come_back():
+def test_store_outage_gives_503_for_all_requests():
     world = farm(machines=3)
     submit(world, ticket("chain", "once", 1))
     world.fault("outage")
@@ -464,7 +464,7 @@
 # -- the same accounts --------------------------------------------------------------------------
 
 
-def test_a_ticket_is_charged_to_the_millisecond_what_its_native_twin_is():
+def test_ticket_is_charged_like_equal_native_job():
     held = []
     for native in (False, True):
         world = farm(gateways=1)
@@ -509,7 +509,7 @@
 WORLD: list[TicketWorld] = []
 
 
-def shared() -> TicketWorld:
+def shared_world() -> TicketWorld:
     if not WORLD:
         WORLD.append(farm(machines=3, gateways=1))
     return WORLD[0]
@@ -532,7 +532,7 @@
     body = data.draw(
         st.sampled_from([data.draw(st.binary(max_size=60)), orjson_of(odd), orjson_of(fields | {name: odd})])
     )
-    world = shared()
+    world = shared_world()
     before = records(world)
     answer = ask(world, "POST", "/api/tickets", body)
     if answer.status == 201:
@@ -567,7 +567,7 @@
     ],
 )
 def test_answers_at_the_entry(method, path, body, status):
-    assert ask(shared(), method, path, body).status == status
+    assert ask(shared_world(), method, path, body).status == status
 
 
 @pytest.mark.parametrize("values", ["1-1000000000", "1-100000,100001-200000"])
@@ -576,7 +576,7 @@
     define = {"name": "F", "type": "INT", "range": values}
     space = {"taskParameterDefinitions": [define, define | {"name": "G"}], "combination": "F * G"}
     fields["template"]["steps"][0]["parameterSpace"] = space
-    answer = ask(shared(), "POST", "/api/tickets", orjson.dumps(fields))
+    answer = ask(shared_world(), "POST", "/api/tickets", orjson.dumps(fields))
     assert answer.status == 400
     assert "a step has 1 to 100000 tasks" in orjson.loads(answer.body)["error"]
 
--- a/tests/test_tickets.py
+++ b/tests/test_ticket_planning.py
@@ -122,7 +122,7 @@
     assert set(points) == wanted
 
 
-def test_an_id_hangs_on_content_alone_and_jobs_on_the_id():
+def test_ticket_id_depends_on_content_and_job_refs_on_id():
     assert ticket_id({"a": 1, "b": [2]}) == ticket_id({"b": [2], "a": 1}) != ticket_id({"a": 1, "b": [3]})
     refs = {job_ref(ticket, n) for ticket in ("t-1", "t-2") for n in range(100)}
     assert len(refs) == 200
--- a/tests/test_workers.py
+++ b/tests/test_worker_leases.py
@@ -1,7 +1,7 @@
 """When a placement is settled, and when a lease has ended (points 3 and 4 of docs/design.md)."""
 
 import orjson
-from traces import only, served, worker_of
+from traces import fault_on_path, ready_world, worker_of
 
 from kelpjunction.lab.world import seconds
 
@@ -9,7 +9,7 @@
 
 
 def test_session_change_settles_what_stood_there_and_it_runs_again():
-    world = served()
+    world = ready_world()
     world.submit("j-1", run_s=30.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
@@ -20,9 +20,9 @@
 
 
 def test_start_that_is_held_back_cannot_revive_a_forgotten_task():
-    world = served(machines=1, capacity=1)
+    world = ready_world(machines=1, capacity=1)
     worker = next(iter(world.cloud.machines.values()))[0]
-    world.filter = only("/commands held")
+    world.filter = fault_on_path("/commands held")
     world.submit("j-1", run_s=1.0)
     world.run(1)
     assert world.late, "the direct start is still under way"
@@ -34,11 +34,11 @@
 
 
 def test_forget_waits_while_a_start_may_still_arrive():
-    world = served(machines=1, capacity=1)
+    world = ready_world(machines=1, capacity=1)
     for node in world.nodes.values():
         node.blocks.issue_new_tokens = lambda zones: False
     world.late_request_delay_s = (600.0, 600.0)
-    world.filter = only("/commands held")
+    world.filter = fault_on_path("/commands held")
     world.submit("j-1", run_s=1.0)
     assert world.run(20, lambda: world.poll("j-1") == "done")
     world.filter = lambda *_: None
@@ -49,13 +49,13 @@
 
 
 def test_check_in_without_the_task_does_not_settle_it_while_its_start_may_still_arrive():
-    world = served(machines=1, capacity=1)
+    world = ready_world(machines=1, capacity=1)
     worker = next(iter(world.cloud.machines.values()))[0]
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant(worker.zone))
     for node in world.nodes.values():
         node.blocks.issue_new_tokens = lambda zones: False
     worker.next_report = world.clock.now + seconds(60)
-    world.filter = only("/commands held")
+    world.filter = fault_on_path("/commands held")
     world.submit("j-1", run_s=20.0)
     assert world.run(2, lambda: holder.job_index.jobs["j-1"].placed_count() == 1)
     holder.intake.abort("j-1")
@@ -72,7 +72,7 @@
 
 
 def test_old_report_does_not_undo_a_newer_one():
-    world = served(machines=1, capacity=1)
+    world = ready_world(machines=1, capacity=1)
     worker = next(iter(world.cloud.machines.values()))[0]
     old = orjson.dumps(worker.report())
     world.submit("j-1", run_s=30.0)
@@ -86,7 +86,7 @@
 
 
 def test_silent_worker_after_takeover_keeps_its_tasks_until_its_lease_has_ended():
-    world = served(machines=2, capacity=2)
+    world = ready_world(machines=2, capacity=2)
     world.cloud.is_down = True
     world.submit("j-1", run_s=200.0)
     assert world.run(10, lambda: world.running("j-1") != [])
@@ -102,7 +102,7 @@
 
 def test_tasks_do_not_count_as_lost_when_their_worker_began_a_new_session_after_an_outage():
     """Found by a random schedule: the lease of the session before was taken for the new one's."""
-    world = served()
+    world = ready_world()
     world.submit("j-1", 2, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     world.store.outage(True)
--- a/tests/test_budget.py
+++ b/tests/test_write_rate_limiter.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 import pytest
-from schedules import Schedule
-from traces import served
+from fault_schedules import FaultSchedule
+from traces import ready_world
 
 from kelpjunction.clock import ZERO
 from kelpjunction.fleet.rental_record import RentalRecord
@@ -13,7 +13,7 @@
 from kelpjunction.settings import StoreLimits
 
 
-def limits(changes: float) -> StoreLimits:
+def store_limits_for_rate(changes: float) -> StoreLimits:
     """A state service of so many changes a second; requests in proportion, as the third place has them."""
     return StoreLimits(max(60.0, changes * 8 / 3), changes, 8192, 12)
 
@@ -34,7 +34,7 @@
     assert budget.state is LimiterState.THROTTLED
 
 
-def test_what_has_waited_for_its_patience_goes_before_a_stream_of_others():
+def test_purpose_past_max_delay_is_admitted_first():
     budget, now = WriteRateLimiter(10.0, ZERO), ZERO
     assert budget.try_reserve(Purpose.COORDINATION, 10, now)
     assert not budget.try_reserve(Purpose.RESULT, 8, now)
@@ -47,7 +47,7 @@
     assert took is not None and took <= PURPOSE_POLICIES[Purpose.RESULT].max_delay + seconds(1)
 
 
-def test_a_purpose_that_asks_no_more_keeps_nobody_waiting():
+def test_idle_purpose_holds_back_no_capacity():
     budget = WriteRateLimiter(10.0, ZERO)
     assert budget.try_reserve(Purpose.COORDINATION, 10, ZERO)
     assert not budget.try_reserve(Purpose.RESULT, 10, ZERO)
@@ -70,8 +70,8 @@
 # Nodes
 
 
-def test_a_node_draws_what_others_have_applied_from_its_picture_of_the_rate():
-    world = served()
+def test_node_subtracts_foreign_changes_from_capacity():
+    world = ready_world()
     node, other = (world.nodes[name] for name in ("holdfast-0", "holdfast-1"))
     left = node.store.available_changes(Purpose.BEST_EFFORT)
     for n in range(10):
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("changes", [5, 15, 30, 100])
 def test_rules_hold_and_work_goes_on_at_any_rate(changes):
     """Scarcity costs speed, never everything: at 30 changes a second nothing was served, and rules were broken."""
-    world = served(machines=9, capacity=12, store=limits(changes))
+    world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(changes))
     refs = [f"j-{n:03d}" for n in range(18)]
     shapes = ({"shape": "service", "urgency": "prod", "apart": True}, {"shape": "batch"}, {"shape": "ensemble"})
     for n, ref in enumerate(refs):
@@ -109,7 +109,7 @@
 
 def test_no_leader_is_lost_for_refusals_of_changes():
     """Found at the third place: writes that were sent again and again took the requests that holds needed."""
-    world = served(machines=9, capacity=12, store=limits(5))
+    world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(5))
     leader = world.leader_name()
     for n in range(40):
         world.submit(f"j-{n:03d}", 2, cpus=0.5, run_s=3.0, crew="blue")
@@ -121,7 +121,7 @@
 
 def test_cancelled_tasks_are_stopped_though_every_write_of_a_round_is_refused():
     """Found at the third place: a round stood for 40 s behind its writes, and cancelled tasks ran on."""
-    world = served(machines=6)
+    world = ready_world(machines=6)
     world.submit("j-1", 4, run_s=600.0)
     world.submit("j-2", 4, run_s=2.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 4)
@@ -133,7 +133,7 @@
 
 
 def test_rules_hold_while_the_service_refuses_everything_for_a_minute():
-    world = served(machines=6, store=limits(30))
+    world = ready_world(machines=6, store=store_limits_for_rate(30))
     world.submit("j-1", 4, shape="service", urgency="prod", apart=True)
     world.submit("j-2", 6, run_s=20.0)
     assert world.run(10, lambda: len(world.running()) == 10)
@@ -150,8 +150,8 @@
 
 @pytest.mark.parametrize("seed", [5, 6, 7, 8])
 def test_rules_hold_in_random_schedules_on_a_slow_service(seed):
-    schedule = Schedule(seed)
-    schedule.world.store.limits = limits(8)
+    schedule = FaultSchedule(seed)
+    schedule.world.store.limits = store_limits_for_rate(8)
     world = schedule.play(lambda world: None, steps=40)
     assert world.broken == []
 
@@ -160,7 +160,7 @@
 
 
 def test_a_change_of_many_machines_costs_a_page_and_not_a_key_each():
-    world = served(machines=48, capacity=48)
+    world = ready_world(machines=48, capacity=48)
     before = world.store.applied_changes
     for worker, _ in world.cloud.machines.values():
         worker.notice_at = world.clock.now + seconds(100)
@@ -171,7 +171,7 @@
 
 
 def test_a_page_that_lags_does_not_bring_a_returned_machine_back():
-    world = served()
+    world = ready_world()
     holder = world.leader()
     zone = holder.blocks.held_zones()[0]
     key, rows = next(iter(holder.inventory.pages(zone).items()))
@@ -182,7 +182,7 @@
 
 
 def test_records_of_machines_as_earlier_versions_wrote_them_do_no_harm():
-    world = served()
+    world = ready_world()
     old = {"a": "10.1.0.9:9000", "t": "plain", "z": "a", "s": False, "st": "up", "im": []}
     assert world.leader().store.commit({}, {"l/machine/n-000009": old}).revision
     world.run(2)
@@ -192,8 +192,8 @@
     assert world.run(10, lambda: world.nodes["holdfast-1"].mirror.loaded)
 
 
-def test_a_new_leader_repeats_what_was_asked_of_the_cloud_and_rents_nothing_twice():
-    world = served(machines=2, capacity=6)
+def test_new_leader_repeats_pending_rentals_without_renting_twice():
+    world = ready_world(machines=2, capacity=6)
     world.cloud.is_down = True
     world.submit("j-1", 30, crew="blue", run_s=60.0)
     assert world.run(10, lambda: bool(world.leader().inventory.rental_record.pending_rentals))
@@ -215,7 +215,7 @@
     assert world.broken == []
 
 
-def test_dealings_cross_out_what_was_settled_and_bound_what_is_gone():
+def test_rental_record_drops_settled_and_bounds_gone():
     page = RentalRecord({"r-1": {"n": 1}}, ("m-1", "m-2"), ("m-0",))
     page = page.updated({"r-2": {"n": 2}}, {"r-1"}, ["m-3"], ["m-1"], room=2)
     assert page == RentalRecord({"r-2": {"n": 2}}, ("m-2", "m-3"), ("m-0", "m-1"))
@@ -224,15 +224,15 @@
 
 
 def test_a_machine_that_an_earlier_leader_asked_back_is_returned_though_nobody_knows_it():
-    world = served()
+    world = ready_world()
     leader = world.leader()
     assert leader.fleet._write_rental_record(back=["n-000999"])
     assert world.run(10, lambda: leader.inventory.rental_record.gone == ("n-000999",))
     assert leader.inventory.rental_record.pending_returns == ()
 
 
-def test_snapshots_and_left_over_chunks_that_were_put_off_are_written_later():
-    world = served(machines=0, capacity=0)
+def test_deferred_sweep_of_orphan_chunks_is_done_later():
+    world = ready_world(machines=0, capacity=0)
     leader = world.leader()
     assert leader.store.commit({}, {"l/run/j-9/0": {"n": 1, "d": 0, "h": [], "p": []}}).revision
     leader.watch_store()
@@ -244,8 +244,8 @@
     assert world.run(5, lambda: "l/run/j-9/0" not in world.store.data)
 
 
-def test_a_late_write_of_the_dealings_does_not_undo_a_later_one():
-    world = served()
+def test_delayed_rental_record_write_does_not_undo_newer():
+    world = ready_world()
     fleet = world.leader().fleet
     world.filter = lambda source, target, path: "held" if path == "/commit" else None
     assert not fleet._write_rental_record(rent={"r-0": {"t": "plain", "z": "a", "s": False, "n": 1}})
@@ -255,7 +255,7 @@
     assert set(world.store.data["l/cloud"][0]["rent"]) == {"r-9"}
 
 
-def test_patience_is_stated_for_every_purpose():
+def test_every_purpose_has_max_delay():
     assert set(PURPOSE_POLICIES) == set(Purpose)
     assert all(
         ZERO <= t.max_delay <= timedelta(seconds=20) and 0 <= t.reserved_fraction < 1 for t in PURPOSE_POLICIES.values()
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -3,7 +3,7 @@
 from kelpjunction.lab.world import World
 
 
-def served(machines: int = 6, **kwargs) -> World:
+def ready_world(machines: int = 6, **kwargs) -> World:
     """A world whose nodes have settled in."""
     world = World(machines=machines, **kwargs)
     world.run(5)
@@ -11,15 +11,15 @@
     return world
 
 
-def only(verdict: str):
+def fault_on_path(path_and_fault: str):
     """A filter that gives each request to a path one fate, and lets the rest through."""
-    path, fate = verdict.split(" ", 1)
+    path, fate = path_and_fault.split(" ", 1)
     return lambda source, target, at: fate if at == path else None
 
 
-def worker_of(world: World, frond: str):
+def worker_of(world: World, task_ref: str):
     """The worker that runs a task."""
-    machine = dict(world.running())[frond]
+    machine = dict(world.running())[task_ref]
     return world.cloud.machines[machine][0]
 
 
@@ -27,7 +27,7 @@
     return world.cloud.machines[machine][0].zone
 
 
-def handed(world: World, ref: str):
+def dispatch_without_start(world: World, ref: str):
     """Let the leader hand a job over while no holder starts anything; returns the holder and its rounds."""
     rounds = {name: node.holder_scheduler.round for name, node in world.nodes.items()}
     for node in world.nodes.values():
