--- a/kelpjunction/jobs/job_index.py
+++ b/kelpjunction/jobs/job_index.py
@@ -1,27 +1,30 @@
-"""The picture of all live jobs, on every node, fed by the mirror.
-
-A job's record never changes but by its cancellation, so the version of
-`l/job/<ref>` guards every launch: an abort moves it.  Tasks live in chunks of
-64 (`l/run/<ref>/<chunk>`): which are done, which are placed and the number
-that the next attempt takes.  A chunk all of whose tasks are done is folded
-into `l/sum/<ref>`, so a job of 100,000 tasks costs what its unfinished part
-costs.
-
-What a holder knows to be over of arrays' tasks it says in one page for its
-block (`l/over/<zone>`), not in each chunk's record: a row there names an
-attempt that is surely off its machine, and whether its task is done.  That
-stays true for ever, so rows are laid over the chunks as they come in, and the
-next write of a chunk, by whomever and for whatever, folds them in.
-
-What the leader hands over it says in pages too (`l/hand/<shape>/<n>`).  A row
-there holds for a chunk as it was at a version, and is void for ever once
-anybody has written the chunk: who launches writes it under that version, and
-with it what else was handed over of the chunk.
+"""Index of all live jobs.  Every node has one, and the mirror feeds it the changes of the jobs' records.
+
+A job's record (`l/job/<ref>`) changes only when the job is cancelled.  Its
+version guards every start of the job's tasks, so a start that races with a
+cancellation fails.  Tasks are stored in chunks of 64 (`l/run/<ref>/<chunk>`).
+A chunk's record says which tasks are done, which are placed, and which number
+the next attempt takes.  Once all tasks of a chunk are done, the chunk is folded
+into the summary `l/sum/<ref>` and its record is deleted.  So the cost of a job
+of 100,000 tasks depends only on its unfinished part.
+
+A holder writes the settled attempts of array tasks to one page for its block
+(`l/over/<zone>`) instead of to each chunk's record.  A row there names an
+attempt that is known to be off its machine, and says whether its task is done.
+Such a row never becomes false.  So rows are applied to the chunks as they
+arrive, and the next write of a chunk, by any node and for any reason, includes
+them in the chunk's record.
+
+The leader also writes its dispatches to pages (`l/hand/<shape>/<n>`).  A row
+there is valid for one version of a chunk and becomes invalid permanently once
+any node writes the chunk.  The node that starts a task writes the chunk under
+that version, and includes the chunk's other dispatches in the same write.
 
 Where machine time is metered, a placement's row says when its start was
-committed, and whoever settles it adds the time it held its place to the
-chunk's record in the same transaction: what a job has held until now follows
-from its records alone (`Job.machine_time_ms`), whatever failed meanwhile.
+committed.  The node that settles the placement adds the time for which the
+placement occupied its machine to the chunk's record, in the same transaction.
+The machine time that a job has used until now therefore follows from its
+records alone (`Job.machine_time_ms`), whatever failed in the meantime.
 """
 
 from collections import Counter
@@ -45,28 +48,29 @@
 DISPATCH_PREFIX = "l/hand/"
 END_PREFIX = "e/"
 CHUNK_TASKS = 64
-MAX_FAILED_MACHINES = 8  # machines a chunk's record names: enough to tell a wrong job by
+MAX_FAILED_MACHINES = 8  # machines named in a chunk's record: enough to recognize a job that fails by its own fault
 
 
 class Phase(Enum):
-    """Where a placement stands, as the leader knows; `Placement.advance` makes every change.
+    """State of a placement as this node knows it.
 
-    PLACED -> STARTED -> FETCHING -> WAITING -> RUNNING -> STOPPING -> SETTLED,
-    and from any of them to STOPPING or SETTLED.
+    `Placement.advance` makes every change except the reset by `JobIndex.reset_observations`:
+    PLACED -> STARTED -> FETCHING -> WAITING -> RUNNING -> STOPPING -> SETTLED.
+    Every phase may change to STOPPING or SETTLED directly.
     """
 
-    PLACED = "placed"  # committed; no command is known to have arrived
-    STARTED = "started"  # a start command was sent by this node
+    PLACED = "placed"  # committed; the worker is not known to have received a command
+    STARTED = "started"  # this node sent a start command
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
-    STOPPING = "stopping"  # a stop was decided
-    SETTLED = "settled"  # surely not on its machine any more
+    STOPPING = "stopping"  # this node decided to stop it
+    SETTLED = "settled"  # known to be off its machine
 
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """One attempt of a task on a machine, from its commit until its removal is committed."""
+    """One attempt of a task on a machine, from the commit of its start until the commit of its removal."""
 
     task: TaskId
     spec: JobSpec
@@ -75,18 +79,21 @@
     session: int
     zone: str
     phase: Phase = Phase.PLACED
-    since: timedelta = ZERO  # steady time of the last change of phase
+    since: timedelta = ZERO  # steady-clock time of the last change of phase
     running_since: timedelta | None = None
     grace: timedelta = ZERO
     reason: str = ""
     cause: ExitCause | None = None
     saved: bool = False
-    started_ms: int | None = None  # when its start was committed, in ms since its job's submission, if metered
-    was_reported: bool = False  # some report listed it
-    start_sent_at: timedelta | None = None  # when the answer to a report last said to start it
+    started_ms: int | None = None  # when its start was committed, in ms since the job's submission; None if not metered
+    was_reported: bool = False  # at least one report listed it
+    start_sent_at: timedelta | None = None  # when a response to a report last included its start command
 
     def advance(self, phase: Phase, now: timedelta) -> None:
-        """The one place where the phase changes."""
+        """Change the phase, if it may change to this one.
+
+        A settled placement keeps its phase, and a stopping one can only become settled.
+        """
         if phase is self.phase or self.phase is Phase.SETTLED:
             return
         if self.phase is Phase.STOPPING and phase is not Phase.SETTLED:
@@ -100,20 +107,20 @@
         return self.phase not in (Phase.STOPPING, Phase.SETTLED)
 
     def machine_time_ms(self, now: int) -> int:
-        """How long it has held its place, in ms; `now` counts from the job's submission.
+        """How long the placement has occupied its machine, in ms; `now` is in ms since the job's submission.
 
-        Two nodes' times of day may differ a little: it never held less than nothing.
+        The result is never negative, although the clocks of two nodes may differ a little.
         """
         return 0 if self.started_ms is None else max(0, now - self.started_ms)
 
     def row(self, index: int) -> list:
-        """This placement as its chunk's record holds it."""
+        """The placement's row in its chunk's record."""
         row = [index, self.attempt, self.machine, self.session, self.zone]
         return row if self.started_ms is None else [*row, self.started_ms]
 
 
 class DispatchTarget(NamedTuple):
-    """The leader's leave to start a task in a block, on a named machine where the task's gang spans blocks."""
+    """Where the leader dispatches a task: to a block, or to a named machine, as for a gang that spans blocks."""
 
     zone: str
     machine: str | None = None
@@ -121,7 +128,7 @@
 
 
 class ChunkDispatch(NamedTuple):
-    """What was handed over of a chunk as it was at a version."""
+    """Tasks of a chunk that were dispatched, by index in the chunk, and the chunk's version at that time."""
 
     version: int
     tasks: dict[int, DispatchTarget]
@@ -133,16 +140,16 @@
         return cls(version, tasks | {i: DispatchTarget(*rest) for i, *rest in named})
 
     def row(self) -> list:
-        """This as its page holds it."""
+        """The row in a dispatch page."""
         zones: dict[str, list[int]] = {}
-        for i, handed in self.tasks.items():
-            if handed.machine is None:
-                zones.setdefault(handed.zone, []).append(i)
-        return [self.version, zones, [[i, *h] for i, h in self.tasks.items() if h.machine is not None]]
+        for i, target in self.tasks.items():
+            if target.machine is None:
+                zones.setdefault(target.zone, []).append(i)
+        return [self.version, zones, [[i, *t] for i, t in self.tasks.items() if t.machine is not None]]
 
 
 class Chunk:
-    """Up to 64 consecutive tasks."""
+    """Up to 64 consecutive tasks of a job, which share one record."""
 
     __slots__ = (
         "dispatched",
@@ -159,19 +166,19 @@
     def __init__(self) -> None:
         self.version = 0
         self.next_attempt = 1
-        self.done = 0  # a bit for each task
-        self.recorded_attempts: set[tuple[int, int]] = set()  # tasks and attempts in the record as it is stored
+        self.done = 0  # bit mask by index in the chunk
+        self.recorded_attempts: set[tuple[int, int]] = set()  # (index, attempt) pairs in the stored record
         self.placements: dict[int, Placement] = {}
         self.dispatched: dict[int, DispatchTarget] = {}
         self.failures = 0
-        self.failed_on: list[str] = []  # machines where tasks failed, the latest last
-        self.settled_ms = 0  # ms that settled placements held their places
+        self.failed_on: list[str] = []  # machines where tasks failed, most recent last
+        self.settled_ms = 0  # machine time of settled placements
 
     def unstarted_dispatches(self) -> Iterator[tuple[int, DispatchTarget]]:
-        """Tasks that were handed over and not started yet."""
-        for i, handed in self.dispatched.items():
+        """Tasks that were dispatched and not started yet, as pairs of index in the chunk and target."""
+        for i, target in self.dispatched.items():
             if i not in self.placements and not self.done >> i & 1:
-                yield i, handed
+                yield i, target
 
     def counts(self) -> "Counts":
         return Counts(self.done.bit_count(), len(self.placements), sum(1 for _ in self.unstarted_dispatches()))
@@ -181,11 +188,11 @@
         return MachineTime(self.settled_ms, len(starts), sum(starts))
 
     def record(self) -> dict:
-        """This chunk as it is stored."""
+        """The chunk's record as it is stored."""
         record = {
             "n": self.next_attempt,
             "d": self.done,
-            "h": [[i, *(h if h.machine else h[:1])] for i, h in self.dispatched.items()],
+            "h": [[i, *(t if t.machine else t[:1])] for i, t in self.dispatched.items()],
             "p": [p.row(i) for i, p in self.placements.items()],
         }
         if self.settled_ms:
@@ -193,14 +200,14 @@
         return record | {"f": [self.failures, self.failed_on]} if self.failures else record
 
     def failure_fields(self, machines: list[str]) -> dict:
-        """What its record says once tasks have failed on these machines too."""
+        """The failure fields of the chunk's record after further failures, one for each item of `machines`."""
         known = [m for m in dict.fromkeys(self.failed_on) if m not in machines]
         latest = (known + list(dict.fromkeys(machines)))[-MAX_FAILED_MACHINES:]
         return {"f": [self.failures + len(machines), latest]}
 
 
 class Counts(NamedTuple):
-    """How many tasks are done, placed, and handed over but not started."""
+    """Number of tasks that are done, placed, and dispatched but not started."""
 
     done: int = 0
     placed: int = 0
@@ -208,7 +215,7 @@
 
 
 class MachineTime(NamedTuple):
-    """Machine time in ms: what settled placements held, how many are metered now, and the sum of their starts."""
+    """Machine time in ms: total of settled placements, number of metered placements, and sum of their start times."""
 
     settled_ms: int = 0
     metered_placements: int = 0
@@ -216,7 +223,7 @@
 
 
 class Job:
-    """A live job.  Its counts are kept up to date by `update_chunk`, which makes every change of its chunks."""
+    """A live job.  Only `update_chunk` changes its chunks, and it keeps the job's counts up to date."""
 
     def __init__(self, spec: JobSpec, submitted: datetime, version: int, cancelled: bool) -> None:
         self.spec = spec
@@ -225,18 +232,18 @@
         self.cancelled = cancelled
         self.chunks: dict[int, Chunk] = {}
         self.folded_chunks: set[int] = set()
-        self.recorded_chunks: set[int] = set()  # chunks that had a record at some time
+        self.recorded_chunks: set[int] = set()  # chunks that have or had a record
         self.sum_version = 0
-        self.folded_ms = 0  # ms that the tasks of folded chunks held their places
+        self.folded_ms = 0  # machine time of the tasks in folded chunks
         self.counts = Counts()
         self.machine_time = MachineTime()
         self.failures = 0
         self.failed_on: set[str] = set()  # machines where tasks of this job failed
-        self.indexed_failed_on: set[str] = set()  # those of them in the book's index
+        self.indexed_failed_on: set[str] = set()  # the part of `failed_on` that the job index contains
         self.changes = 0  # how often its chunks have changed
-        self.indexed_task_count = 0  # tasks placed or handed over, as the book's index counts them
-        self._first_open = 0
-        # The leader's own notes, rebuilt from snapshot and reports.
+        self.indexed_task_count = 0  # tasks placed or dispatched, as counted in the job index
+        self._first_unfolded_chunk = 0
+        # Kept by the leader only; a new leader rebuilds them from the snapshot and from reports.
         self.task_time_received = ZERO
         self.pending_reason = ""
 
@@ -252,64 +259,66 @@
             yield from chunk.placements.values()
 
     def update_chunk(self, number: int, change: Callable[[Chunk], None]) -> None:
-        """Change a chunk, and the counts with it."""
+        """Apply `change` to a chunk and update the job's counts."""
         self.changes += 1
         chunk = self.chunks.setdefault(number, Chunk())
-        before, metered = self._counted(number, chunk), chunk.machine_time()
+        counts_before, time_before = self._chunk_counts(number, chunk), chunk.machine_time()
         change(chunk)
         if chunk.version == 0 and not chunk.dispatched:
             del self.chunks[number]
-        self._count(before, self._counted(number, chunk))
-        after = chunk.machine_time()
-        if after != metered:
+        self._apply_count_change(counts_before, self._chunk_counts(number, chunk))
+        time_after = chunk.machine_time()
+        if time_after != time_before:
             self.machine_time = MachineTime(
-                *(n - b + a for n, b, a in zip(self.machine_time, metered, after, strict=True))
+                *(n - b + a for n, b, a in zip(self.machine_time, time_before, time_after, strict=True))
             )
         if self.failures or chunk.failures:
             self.failures = sum(c.failures for c in self.chunks.values())
             self.failed_on = {m for c in self.chunks.values() for m in c.failed_on}
 
-    def update_folded_chunks(self, full: set[int], spent: int, version: int) -> None:
-        """Learn which chunks were folded away because all their tasks are done, and what those held."""
-        for number in sorted(full ^ self.folded_chunks):
-            if number in full and number in self.chunks and not self.chunks[number].version:
+    def update_folded_chunks(self, folded: set[int], folded_ms: int, version: int) -> None:
+        """Apply the job's summary: its folded chunks, whose tasks are all done, and their machine time in ms."""
+        for number in sorted(folded ^ self.folded_chunks):
+            if number in folded and number in self.chunks and not self.chunks[number].version:
                 self.update_chunk(number, lambda chunk: chunk.dispatched.clear())
             chunk = self.chunks.get(number) or Chunk()
-            before = self._counted(number, chunk)
+            before = self._chunk_counts(number, chunk)
             self.folded_chunks ^= {number}
-            self._count(before, self._counted(number, chunk))
-        self.machine_time = self.machine_time._replace(settled_ms=self.machine_time.settled_ms - self.folded_ms + spent)
-        self.folded_ms = spent
+            self._apply_count_change(before, self._chunk_counts(number, chunk))
+        self.machine_time = self.machine_time._replace(
+            settled_ms=self.machine_time.settled_ms - self.folded_ms + folded_ms
+        )
+        self.folded_ms = folded_ms
         self.sum_version = version
 
-    def _counted(self, number: int, chunk: Chunk) -> Counts:
+    def _chunk_counts(self, number: int, chunk: Chunk) -> Counts:
         counts = chunk.counts()
         return counts._replace(done=self.chunk_size(number)) if number in self.folded_chunks else counts
 
-    def _count(self, before: Counts, after: Counts) -> None:
+    def _apply_count_change(self, before: Counts, after: Counts) -> None:
         self.counts = Counts(*(n - b + a for n, b, a in zip(self.counts, before, after, strict=True)))
 
     def age_ms(self, now: datetime) -> int:
-        """Time since the job's submission, in whole ms: what starts are counted in."""
+        """Time since the job's submission in whole ms, the scale of `Placement.started_ms`."""
         return (now - self.submitted) // MILLISECOND
 
     def machine_time_ms(self, now: datetime) -> int:
-        """How long its tasks have held their places, together, in ms."""
-        spent, running, starts = self.machine_time
-        return spent + running * self.age_ms(now) - starts if running else spent
+        """Total time for which the job's tasks have occupied machines, in ms."""
+        settled_ms, metered, start_sum_ms = self.machine_time
+        return settled_ms + metered * self.age_ms(now) - start_sum_ms if metered else settled_ms
 
     def unstarted_dispatches(self) -> Iterator[tuple[TaskId, DispatchTarget]]:
-        """Tasks that were handed to a block and not started yet."""
+        """Tasks that were dispatched to a block and not started yet."""
         if not self.counts.dispatched:
             return
         for number, chunk in self.chunks.items():
-            for i, handed in chunk.unstarted_dispatches():
-                yield TaskId(self.spec.ref, number * CHUNK_TASKS + i), handed
+            for i, target in chunk.unstarted_dispatches():
+                yield TaskId(self.spec.ref, number * CHUNK_TASKS + i), target
 
     def broken_gang(self) -> bool:
-        """Whether some task of a gang is neither placed nor about to be."""
-        done, placed, pending = self.counts
-        return self.spec.shape is Shape.GANG and not done and placed > 0 and placed + pending < self.spec.tasks
+        """Whether some tasks of an unfinished gang are placed and others are neither placed nor dispatched."""
+        done, placed, dispatched = self.counts
+        return self.spec.shape is Shape.GANG and not done and placed > 0 and placed + dispatched < self.spec.tasks
 
     def placed_count(self) -> int:
         return self.counts.placed
@@ -321,20 +330,20 @@
         return self.spec.shape is not Shape.SERVICE and self.done_count() >= self.spec.tasks
 
     def is_finished(self) -> bool:
-        """Whether nothing is left to do but to write down the end."""
+        """Whether only the job's final record remains to be written."""
         if self.cancelled:
             return self.placed_count() == 0
-        # One done task of a gang means that all are.
+        # The tasks of a gang complete together: if one is done, all are.
         gang_done = self.spec.shape is Shape.GANG and self.done_count() > 0
         return self.all_done() or (gang_done and self.placed_count() == 0)
 
-    def pending_tasks(self, most: int) -> list[TaskId]:
-        """The first tasks that are neither done, placed nor handed over, at most so many."""
+    def pending_tasks(self, limit: int) -> list[TaskId]:
+        """The first `limit` tasks that are neither done, placed nor dispatched."""
         found: list[TaskId] = []
-        while self._first_open in self.folded_chunks:
-            self._first_open += 1
-        for number in range(self._first_open, self.chunk_count):
-            if len(found) >= most:
+        while self._first_unfolded_chunk in self.folded_chunks:
+            self._first_unfolded_chunk += 1
+        for number in range(self._first_unfolded_chunk, self.chunk_count):
+            if len(found) >= limit:
                 break
             if number in self.folded_chunks:
                 continue
@@ -342,12 +351,12 @@
             for i in range(self.chunk_size(number)):
                 if chunk is None or not (chunk.done >> i & 1 or i in chunk.placements or i in chunk.dispatched):
                     found.append(TaskId(self.spec.ref, number * CHUNK_TASKS + i))
-                    if len(found) >= most:
+                    if len(found) >= limit:
                         break
         return found
 
     def pending_count(self) -> int:
-        """How many tasks are neither done, placed nor handed over."""
+        """Number of tasks that are neither done, placed nor dispatched."""
         return self.spec.tasks - sum(self.counts)
 
     def phase(self) -> JobPhase:
@@ -357,24 +366,24 @@
 
 
 def job_record(fields: dict, submitted: datetime, cancelled: bool = False) -> dict:
-    """A job as it is stored."""
+    """A job's record as it is stored."""
     record = {"spec": fields, "at": submitted.timestamp()}
     return record | {"cancelled": True} if cancelled else record
 
 
 def ranges(numbers: set[int]) -> list[list[int]]:
-    """A set of numbers as inclusive ranges."""
-    found: list[list[int]] = []
+    """The numbers as a sorted list of inclusive [first, last] ranges."""
+    result: list[list[int]] = []
     for n in sorted(numbers):
-        if found and found[-1][1] == n - 1:
-            found[-1][1] = n
+        if result and result[-1][1] == n - 1:
+            result[-1][1] = n
         else:
-            found.append([n, n])
-    return found
+            result.append([n, n])
+    return result
 
 
 class SettledAttempt(NamedTuple):
-    """An attempt that is over: its task's place in its chunk, its number, and whether the task is done."""
+    """A settled attempt: its task's index in the chunk, the attempt's number, and whether the task is done."""
 
     index: int
     attempt: int
@@ -382,15 +391,15 @@
 
 
 def settled_page(rows: dict[tuple[str, int], set[SettledAttempt]]) -> dict:
-    """A block's page of attempts that are over, as it is stored."""
+    """A block's page of settled attempts as it is stored."""
     record: dict[str, dict[str, list]] = {}
-    for (ref, number), overs in rows.items():
-        record.setdefault(ref, {})[str(number)] = [[i, attempt, int(done)] for i, attempt, done in sorted(overs)]
+    for (ref, number), attempts in rows.items():
+        record.setdefault(ref, {})[str(number)] = [[i, attempt, int(done)] for i, attempt, done in sorted(attempts)]
     return record
 
 
 class TaskDemand(NamedTuple):
-    """What one task of a team takes of its limit."""
+    """What one task uses of its team's limit."""
 
     team: str
     cpus: float
@@ -402,7 +411,7 @@
 
 
 class Load:
-    """What stands on a machine: its placements, and what they take together."""
+    """The placements on a machine and the sum of their resources."""
 
     __slots__ = ("cpus", "gpus", "images", "memory", "placements")
 
@@ -423,33 +432,33 @@
 
 
 class JobIndex:
-    """All live jobs, and indexes of them, so that a round costs what changed.
+    """All live jobs, with indexes that make the cost of a round depend on what changed.
 
-    `_reindex` keeps the sets of jobs, `_put` and `_drop` what stands on
-    machines, and `changes` is told of every machine whose load changed.
+    `_reindex` maintains the sets of jobs.  `_add_placement` and `_remove_placement` maintain the
+    loads of machines, and report every machine whose load changed to `changes`.
     """
 
     def __init__(self, changes: ChangeTracker) -> None:
         self._changes = changes
         self.jobs: dict[str, Job] = {}
         self.loads: dict[str, Load] = {}
-        self.pending_jobs: set[str] = set()  # jobs with tasks that wait to be handed over
-        self.dispatched_jobs: set[str] = set()  # jobs with tasks that were handed to a block and not started
+        self.pending_jobs: set[str] = set()  # jobs with tasks that wait to be dispatched
+        self.dispatched_jobs: set[str] = set()  # jobs with tasks that were dispatched to a block and not started
         self.gangs: set[str] = set()
         self.accelerated: set[str] = set()  # jobs that need accelerators and are not cancelled
         self.cancelled: set[str] = set()
-        self.failed_on: dict[str, set[str]] = {}  # the jobs whose tasks failed on a machine
-        self.finished_jobs: set[str] = set()  # jobs whose end is to be written down
-        self.metered: set[str] = set()  # jobs that have held machine time, as far as it is metered
-        self.settled: dict[TaskId, Placement] = {}  # placements whose end is to be written down
-        self.task_counts: Counter[TaskDemand] = Counter()  # tasks placed or handed over, by team and size
-        self._of_team: dict[str, SortedKeyList] = {}  # jobs, the earliest submitted first
-        self._orphans: dict[str, dict[str, tuple[Any, int]]] = {}
+        self.failed_on: dict[str, set[str]] = {}  # by machine: jobs with tasks that failed on it
+        self.finished_jobs: set[str] = set()  # jobs whose final record is to be written
+        self.metered: set[str] = set()  # jobs with metered machine time
+        self.settled: dict[TaskId, Placement] = {}  # settled placements that are still to be removed from the records
+        self.task_counts: Counter[TaskDemand] = Counter()  # tasks placed or dispatched, by team and size
+        self._jobs_by_team: dict[str, SortedKeyList] = {}  # earliest submission first
+        self._records_without_job: dict[str, dict[str, tuple[Any, int]]] = {}  # by job and key: value and version
         self._dispatch_pages_by_key: dict[str, dict[str, dict[int, ChunkDispatch]]] = {}  # by page, job and chunk
         self._settled_pages_by_key: dict[str, dict[tuple[str, int], set[SettledAttempt]]] = {}  # by page, then by chunk
 
     def changed(self, key: str, value: Any, version: int) -> None:
-        """Take in one change of the mirror."""
+        """Apply one change of a record in the mirror; `value` is None if the record was deleted."""
         if key.startswith(JOB_PREFIX):
             self._job_changed(key.removeprefix(JOB_PREFIX), value, version)
         elif key.startswith(DISPATCH_PREFIX):
@@ -460,37 +469,37 @@
             ref = key.split("/")[2]
             job = self.jobs.get(ref)
             if job is not None:
-                self._part_changed(job, key, value, version)
+                self._chunk_or_summary_changed(job, key, value, version)
                 self._reindex(job)
             elif value is not None:
-                # A listing by key order may bring tasks before their job.
-                self._orphans.setdefault(ref, {})[key] = (value, version)
+                # A listing may deliver a job's chunks and summary before the job's own record.
+                self._records_without_job.setdefault(ref, {})[key] = (value, version)
             else:
-                self._orphans.get(ref, {}).pop(key, None)
+                self._records_without_job.get(ref, {}).pop(key, None)
 
     def _job_changed(self, ref: str, value: Any, version: int) -> None:
         job = self.jobs.get(ref)
         if value is None:
             if job is not None:
                 for placement in list(job.placements()):
-                    self._drop(placement)
+                    self._remove_placement(placement)
                 del self.jobs[ref]
-                self._of_team[job.spec.team].remove(job)
+                self._jobs_by_team[job.spec.team].remove(job)
                 self._index_task_count(job, 0)
                 for index in (
                     self.pending_jobs, self.dispatched_jobs, self.gangs,
                     self.accelerated, self.cancelled, self.finished_jobs, self.metered
                 ):  # fmt: skip
                     index.discard(ref)
-                self._note_failures(ref, job.indexed_failed_on, set())
+                self._index_failed_machines(ref, job.indexed_failed_on, set())
             return
         cancelled = bool(value.get("cancelled"))
         if job is None:
             submitted = datetime.fromtimestamp(value["at"], UTC)
             job = self.jobs[ref] = Job(job_from_fields(value["spec"]), submitted, version, cancelled)
-            self._of_team.setdefault(job.spec.team, SortedKeyList(key=_by_submission)).add(job)
-            for key, (part, part_version) in self._orphans.pop(ref, {}).items():
-                self._part_changed(job, key, part, part_version)
+            self._jobs_by_team.setdefault(job.spec.team, SortedKeyList(key=_by_submission)).add(job)
+            for key, (record, record_version) in self._records_without_job.pop(ref, {}).items():
+                self._chunk_or_summary_changed(job, key, record, record_version)
             for page in self._dispatch_pages_by_key.values():
                 self._apply_dispatches(job, page.get(ref, {}))
         job.version, job.cancelled = version, cancelled
@@ -498,7 +507,7 @@
 
     def _reindex(self, job: Job) -> None:
         """Bring the indexes up to date after any change of a job."""
-        self._note_failures(job.spec.ref, job.indexed_failed_on, job.failed_on)
+        self._index_failed_machines(job.spec.ref, job.indexed_failed_on, job.failed_on)
         job.indexed_failed_on = job.failed_on
         self._index_task_count(job, job.counts.placed + job.counts.dispatched)
         for index, belongs in (
@@ -512,20 +521,20 @@
         ):
             (index.add if belongs else index.discard)(job.spec.ref)
 
-    def _index_task_count(self, job: Job, held: int) -> None:
-        # Whole tasks are counted, since sums of amounts drift in the last digits.
-        if held != job.indexed_task_count:
-            need = TaskDemand(job.spec.team, job.spec.cpus, job.spec.gpus)
-            self.task_counts[need] += held - job.indexed_task_count
-            if not self.task_counts[need]:
-                del self.task_counts[need]
-            job.indexed_task_count = held
+    def _index_task_count(self, job: Job, count: int) -> None:
+        # Whole tasks are counted because sums of fractional amounts accumulate rounding errors.
+        if count != job.indexed_task_count:
+            demand = TaskDemand(job.spec.team, job.spec.cpus, job.spec.gpus)
+            self.task_counts[demand] += count - job.indexed_task_count
+            if not self.task_counts[demand]:
+                del self.task_counts[demand]
+            job.indexed_task_count = count
 
     def of_team(self, team: str) -> Iterable[Job]:
-        """A team's live jobs, the earliest submitted first."""
-        return self._of_team.get(team, ())
+        """A team's live jobs, earliest submission first."""
+        return self._jobs_by_team.get(team, ())
 
-    def _note_failures(self, ref: str, before: set[str], after: set[str]) -> None:
+    def _index_failed_machines(self, ref: str, before: set[str], after: set[str]) -> None:
         for machine in after - before:
             self.failed_on.setdefault(machine, set()).add(ref)
         for machine in before - after:
@@ -534,85 +543,94 @@
                 del self.failed_on[machine]
 
     def _dispatch_page_changed(self, key: str, value: dict) -> None:
-        """A page of what was handed over has changed: lay what is new over the chunks."""
+        """Apply the new rows of a changed dispatch page to the chunks."""
         old = self._dispatch_pages_by_key.get(key, {})
         page = self._dispatch_pages_by_key[key] = {
             ref: {int(number): ChunkDispatch.of(row) for number, row in parts.items()} for ref, parts in value.items()
         }
-        for ref, hands in page.items():
+        for ref, dispatches in page.items():
             job = self.jobs.get(ref)
-            if job is not None and hands != old.get(ref):
-                self._apply_dispatches(job, hands)
+            if job is not None and dispatches != old.get(ref):
+                self._apply_dispatches(job, dispatches)
                 self._reindex(job)
 
-    def _apply_dispatches(self, job: Job, hands: dict[int, ChunkDispatch]) -> None:
-        for number, hand in hands.items():
-            job.update_chunk(number, lambda chunk, n=number, hand=hand: self._apply_dispatch(job, n, chunk, hand))
+    def _apply_dispatches(self, job: Job, dispatches: dict[int, ChunkDispatch]) -> None:
+        for number, dispatch in dispatches.items():
+            job.update_chunk(
+                number, lambda chunk, n=number, dispatch=dispatch: self._apply_dispatch(job, n, chunk, dispatch)
+            )
 
     def _apply_dispatch(self, job: Job, number: int, chunk: Chunk, dispatch: ChunkDispatch) -> None:
-        # A chunk that was folded away has no record again, as one that was never written.
         if self.dispatch_is_current(job, number, dispatch):
-            for i, handed in dispatch.tasks.items():
+            for i, target in dispatch.tasks.items():
                 if i not in chunk.placements and not chunk.done >> i & 1:
-                    chunk.dispatched.setdefault(i, handed)
+                    chunk.dispatched.setdefault(i, target)
 
     def dispatch_is_current(self, job: Job, number: int, dispatch: ChunkDispatch) -> bool:
-        """Whether the chunk is as it was when this was handed over."""
+        """Whether the chunk is unchanged since the leader dispatched these tasks.
+
+        A folded chunk has no record and so has version 0, like a chunk that was never written.
+        A dispatch of version 0 is therefore current only if the chunk never had a record.
+        """
         chunk = job.chunks.get(number)
         version = chunk.version if chunk is not None else 0
         return dispatch.version == version and (version > 0 or number not in job.folded_chunks | job.recorded_chunks)
 
     def dispatch_pages(self, prefix: str) -> dict[str, dict[str, dict[int, ChunkDispatch]]]:
-        """The pages below a prefix, by their keys, with the rows that still hold."""
+        """The dispatch pages below a key prefix, by key, with only the rows that are still valid."""
         pages = {}
         for key, page in self._dispatch_pages_by_key.items():
             if key.startswith(prefix):
                 kept = {
-                    ref: {n: hand for n, hand in hands.items() if self.dispatch_is_current(self.jobs[ref], n, hand)}
-                    for ref, hands in page.items()
+                    ref: {
+                        n: dispatch
+                        for n, dispatch in dispatches.items()
+                        if self.dispatch_is_current(self.jobs[ref], n, dispatch)
+                    }
+                    for ref, dispatches in page.items()
                     if ref in self.jobs
                 }
-                pages[key] = {ref: hands for ref, hands in kept.items() if hands}
+                pages[key] = {ref: dispatches for ref, dispatches in kept.items() if dispatches}
         return pages
 
     def _settled_page_changed(self, key: str, value: dict) -> None:
-        """A block's page of attempts that are over has changed: lay what is new over the chunks."""
+        """Apply the new rows of a block's changed page of settled attempts to the chunks."""
         old = self._settled_pages_by_key.get(key, {})
         rows = self._settled_pages_by_key[key] = {
-            (ref, int(number)): {SettledAttempt(i, attempt, bool(done)) for i, attempt, done in overs}
+            (ref, int(number)): {SettledAttempt(i, attempt, bool(done)) for i, attempt, done in attempts}
             for ref, parts in value.items()
-            for number, overs in parts.items()
+            for number, attempts in parts.items()
         }
-        for (ref, number), overs in rows.items():
-            job, new = self.jobs.get(ref), overs - old.get((ref, number), set())
+        for (ref, number), attempts in rows.items():
+            job, new = self.jobs.get(ref), attempts - old.get((ref, number), set())
             if job is not None and number in job.chunks and new:
                 job.update_chunk(number, lambda chunk, new=new: self._apply_settled(chunk, new))
                 self._reindex(job)
 
-    def _apply_settled(self, chunk: Chunk, overs: Iterable[SettledAttempt]) -> None:
-        for i, attempt, done in overs:
+    def _apply_settled(self, chunk: Chunk, attempts: Iterable[SettledAttempt]) -> None:
+        for i, attempt, done in attempts:
             placement = chunk.placements.get(i)
             if placement is not None and placement.attempt == attempt:
                 del chunk.placements[i]
                 chunk.dispatched.pop(i, None)
                 chunk.done |= int(done) << i
-                self._drop(placement)
+                self._remove_placement(placement)
 
     def settled_rows(self, zone: str) -> dict[tuple[str, int], set[SettledAttempt]]:
-        """What a block's page has to say still: rows whose attempts some stored record lists."""
+        """The rows that a block's page must keep: those of attempts that are still in a stored chunk record."""
         kept: dict[tuple[str, int], set[SettledAttempt]] = {}
-        for (ref, number), overs in self._settled_pages_by_key.get(SETTLED_PREFIX + zone, {}).items():
+        for (ref, number), attempts in self._settled_pages_by_key.get(SETTLED_PREFIX + zone, {}).items():
             job = self.jobs.get(ref)
             chunk = job.chunks.get(number) if job is not None else None
-            if chunk is not None and (left := {o for o in overs if o[:2] in chunk.recorded_attempts}):
-                kept[ref, number] = left
+            if chunk is not None and (recorded := {a for a in attempts if a[:2] in chunk.recorded_attempts}):
+                kept[ref, number] = recorded
         return kept
 
-    def _part_changed(self, job: Job, key: str, value: Any, version: int) -> None:
+    def _chunk_or_summary_changed(self, job: Job, key: str, value: Any, version: int) -> None:
         if key.startswith(SUM_PREFIX):
             value = value or {"full": []}
-            full = {n for a, b in value["full"] for n in range(a, b + 1)}
-            job.update_folded_chunks(full, value.get("u", 0), version)
+            folded = {n for first, last in value["full"] for n in range(first, last + 1)}
+            job.update_folded_chunks(folded, value.get("u", 0), version)
             return
         number = int(key.rpartition("/")[2])
         job.update_chunk(number, lambda chunk: self._chunk_changed(job, number, chunk, value, version))
@@ -637,26 +655,26 @@
                 )
                 known.started_ms = started[0] if started else None
                 if i in old:
-                    self._drop(old[i])
-                self._put(known)
+                    self._remove_placement(old[i])
+                self._add_placement(known)
             chunk.placements[i] = known
         for i, placement in old.items():
             if i not in chunk.placements:
-                self._drop(placement)
+                self._remove_placement(placement)
         for rows in self._settled_pages_by_key.values():
             self._apply_settled(chunk, rows.get((job.spec.ref, number), ()))
         for page in self._dispatch_pages_by_key.values():
-            hand = page.get(job.spec.ref, {}).get(number)
-            if hand is not None:
-                self._apply_dispatch(job, number, chunk, hand)
+            dispatch = page.get(job.spec.ref, {}).get(number)
+            if dispatch is not None:
+                self._apply_dispatch(job, number, chunk, dispatch)
 
-    def _put(self, placement: Placement) -> None:
+    def _add_placement(self, placement: Placement) -> None:
         load = self.loads.setdefault(placement.machine, Load())
         load.placements[placement.task] = placement
         load.add(placement)
         self._changes.mark_changed(placement.machine)
 
-    def _drop(self, placement: Placement) -> None:
+    def _remove_placement(self, placement: Placement) -> None:
         if self.settled.get(placement.task) is placement:
             del self.settled[placement.task]
         load = self.loads[placement.machine]
@@ -664,15 +682,15 @@
         load.add(placement, -1)
         self._changes.mark_changed(placement.machine)
         if not load.placements:
-            # Sums of amounts drift in the last digits: an empty machine starts anew.
+            # Sums of fractional amounts accumulate rounding errors, so an empty machine starts again from zero.
             del self.loads[placement.machine]
 
     def load(self, machine: str) -> Load:
-        """What stands on a machine, to be read only."""
+        """The load of a machine; callers must not change it."""
         return self.loads.get(machine, NO_LOAD)
 
     def placements_on(self, machine: str) -> dict[TaskId, Placement]:
-        """The placements on a machine, to be read only."""
+        """The placements on a machine, by task; callers must not change them."""
         return self.load(machine).placements
 
     def placement(self, task: TaskId) -> Placement | None:
@@ -693,7 +711,10 @@
             yield from load.placements.values()
 
     def reset_observations(self, zone: str) -> None:
-        """A new holder starts from the records alone: what this node noted of the block before is stale."""
+        """Reset the placements of a block that this node now holds to what the records say.
+
+        What this node observed of the block before is stale.
+        """
         for placement in self.placements():
             if placement.zone == zone:
                 placement.phase, placement.running_since = Phase.PLACED, None
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -67,7 +67,7 @@
     placement.was_reported = True
     holder.worker_registry.settle(placement, ExitCause.MACHINE_LOST, Ground.ABSENT, world.clock.now)
     holder.job_index.settled.clear()
-    holder.job_index._drop(placement)
+    holder.job_index._remove_placement(placement)
     holder.worker_registry.probe(worker.name, worker.address)
     (finding,) = events_of_kind(holder, Impossible)
     assert (finding.task, finding.machine, finding.finding) == (TASK, worker.name, "it was settled before")
