--- a/kelpjunction/jobs/__init__.py
+++ b/kelpjunction/jobs/__init__.py
@@ -1,7 +1,8 @@
-"""Jobs and tasks: their life from acceptance to their end.
+"""Jobs and tasks, from the acceptance of a job until its end.
 
-Owns the records of live jobs (`l/job/<ref>`, `l/run/<ref>/<chunk>`,
-`l/sum/<ref>`) and of ended ones (`e/<ref>`), the in-memory picture of them
-(`job_index`), who is to blame for a failure (`failure_attribution`), and the rounds of leader and
-holders that write them (`leader_scheduler`, `holder_scheduler`, by way of `records`).
+This package owns the records of live jobs (`l/job/<ref>`, `l/run/<ref>/<chunk>`,
+`l/sum/<ref>`) and of ended jobs (`e/<ref>`).  `job_index` indexes the live jobs in memory.
+`failure_attribution` decides whether a failure is due to the job or to the machine.
+`leader_scheduler` and `holder_scheduler` run the rounds of the leader and of the holders,
+which write the records through `records`.
 """
--- a/kelpjunction/jobs/views.py
+++ b/kelpjunction/jobs/views.py
@@ -1,4 +1,4 @@
-"""Machines as placement sees them, with what stands on them taken off."""
+"""Builds the machine views that placement chooses from, with the load of each machine subtracted."""
 
 from collections import Counter
 from collections.abc import Callable, Container, Iterable, Iterator
@@ -16,7 +16,7 @@
 
 
 def cached(images: Iterable[tuple[str, float]], cache_gb: float) -> set[str]:
-    """Images a machine should still have: of these, most recently used first, as many as its cache takes."""
+    """The images that a machine's cache should still contain, given (image, GB) pairs, most recently used first."""
     kept: set[str] = set()
     for image, size in images:
         cache_gb -= size
@@ -27,79 +27,82 @@
 
 
 class ViewCache:
-    """Views that are kept from one round to the next, with the index of the free room on them.
+    """Machine views that are kept between rounds, with an index of their free capacity.
 
-    Only those are made anew whose machine changed or that a round wrote to:
-    making all of them for each round took a third of a busy leader's time.
+    A view is rebuilt only if its machine changed or a round wrote to the view.
+    Rebuilding all views in each round took a third of a busy leader's time.
     """
 
     def __init__(
         self,
         changes: ChangeTracker,
         fleet: Fleet,
-        names: Callable[[], Iterable[str]],
-        make: Callable[[str], MachineView | None],
+        machine_names: Callable[[], Iterable[str]],
+        make_view: Callable[[str], MachineView | None],
     ) -> None:
-        self._stale = changes.subscribe()
+        self._stale_machines = changes.subscribe()
         self._fleet = fleet
-        self._names = names
-        self._make = make
-        self._room = FreeCapacityIndex()
-        self._basis: tuple = ()
+        self._machine_names = machine_names
+        self._make_view = make_view
+        self._free_capacity = FreeCapacityIndex()
+        self._reservation_inputs: tuple = ()
 
     def invalidate(self, name: str) -> None:
-        """Have a machine's view made anew: something changed that only the owner of these views knows of."""
-        self._stale.add(name)
+        """Rebuild a machine's view in the next round, after a change that only the owner of this cache knows of."""
+        self._stale_machines.add(name)
 
     def zone_of(self, name: str) -> str | None:
-        """The zone of a machine that could take work in the last round."""
-        view = self._room.view(name)
+        """The zone of a machine, or None if the machine could not take work in the last round."""
+        view = self._free_capacity.view(name)
         return None if view is None else view.zone
 
     def fresh(self) -> MachineSelection:
-        """All machines that can take work, none with anything left of an earlier round."""
-        basis = (self._fleet.catalog, [spec.needs for spec in self._fleet.recent_accelerator_specs])
-        if basis != self._basis:
-            # What is kept free for others on a machine hangs on these.
-            self._basis = basis
-            self._room.clear()
-            self._stale.update(self._names())
-        stale = list(self._stale)
-        self._stale.clear()
+        """All machines that can take work, without changes that an earlier round made to their views."""
+        reservation_inputs = (self._fleet.catalog, [spec.needs for spec in self._fleet.recent_accelerator_specs])
+        if reservation_inputs != self._reservation_inputs:
+            # The capacity that each view reserves for accelerator work depends on these inputs.
+            self._reservation_inputs = reservation_inputs
+            self._free_capacity.clear()
+            self._stale_machines.update(self._machine_names())
+        stale = list(self._stale_machines)
+        self._stale_machines.clear()
         for name in stale:
-            view = self._make(name)
+            view = self._make_view(name)
             if view is None:
-                self._room.drop(name)
+                self._free_capacity.drop(name)
             else:
-                view.on_write = self._written_to
-                self._room.put(view)
-        return self._room.select_all()
+                view.on_write = self._on_view_written
+                self._free_capacity.put(view)
+        return self._free_capacity.select_all()
 
-    def _written_to(self, name: str) -> None:
-        self._stale.add(name)
-        self._room.mark_dirty(name)
+    def _on_view_written(self, name: str) -> None:
+        self._stale_machines.add(name)
+        self._free_capacity.mark_dirty(name)
 
 
 def preemption_candidates(
     job_index: JobIndex,
     preemption_policy: PreemptionPolicy,
-    for_: Iterable[JobSpec],
-    victim: Callable[[Placement], Victim | None],
+    specs: Iterable[JobSpec],
+    make_victim: Callable[[Placement], Victim | None],
 ) -> dict[str, list[Victim]]:
-    """What could be stopped for any of these jobs, by machine; `victim` may leave placements out."""
-    kinds = {(s.priority, s.shape, preemption_policy.is_opportunistic(s)): s for s in for_}.values()
+    """Placements that could be preempted for at least one of these jobs, by machine.
+
+    `make_victim` returns None for a placement that must not be preempted.
+    """
+    distinct_specs = {(s.priority, s.shape, preemption_policy.is_opportunistic(s)): s for s in specs}.values()
     victims: dict[str, list[Victim]] = {}
     for job in job_index.jobs.values():
-        if job.counts.placed and any(preemption_policy.may_preempt(spec, job.spec) for spec in kinds):
+        if job.counts.placed and any(preemption_policy.may_preempt(spec, job.spec) for spec in distinct_specs):
             for placement in job.placements():
-                found = victim(placement)
+                found = make_victim(placement)
                 if found is not None:
                     victims.setdefault(placement.machine, []).append(found)
     return victims
 
 
 def view_of(machine: Machine, type_: MachineType, images: Container[str], load: Load, fleet: Fleet) -> MachineView:
-    """One machine with what is free on it now."""
+    """The view of one machine with its current free capacity and its reservations."""
     view = MachineView(
         machine.name,
         type_,
@@ -114,7 +117,7 @@
         suspected=machine.suspected,
     )
     if type_.gpus and not fleet.recent_accelerator_specs and fleet.plain_types:
-        # What accelerator work needs is not known yet: leave it nearly all.
+        # The needs of accelerator work are not known yet, so nearly the whole machine is reserved for it.
         view.reserve_for_gpu_work(type_.cpus * GPU_RESERVED_SHARE, type_.gpus, type_.memory * GPU_RESERVED_SHARE)
     for spec in fleet.recent_accelerator_specs:
         if type_fits(spec, type_) and allowed(spec, type_, view.zone, view.spot):
@@ -123,9 +126,9 @@
 
 
 def fitting(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView]:
-    """The machines that could run a task of the job if nothing stood on them."""
+    """The machines that could run a task of the job if they were empty."""
     cpus, gpus = spec.cpus - SLACK, spec.gpus - SLACK
-    # Of a large fleet few types are right for a gang: these two rule out most.
+    # In a large fleet few machine types suit a gang.  The first two comparisons rule out most machines.
     return [
         v
         for v in views
@@ -137,12 +140,12 @@
 
 
 def able_for(job: Job, views: MachineSelection) -> MachineSelection:
-    """The machines where no task of the job has failed, or all of them if it failed on each."""
+    """The machines on which no task of the job has failed, or all machines if there are no such machines."""
     return views.avoiding(job.failed_on) if job.failed_on else views
 
 
 def with_services_only(view: MachineView, placements: Iterable[Placement]) -> MachineView:
-    """The machine as it will be when all but the services on it have ended."""
+    """The view of the machine as it will be once only the services on it are left."""
     empty = MachineView(
         view.name,
         view.type,
@@ -164,14 +167,19 @@
 
 @contextmanager
 def ignoring_reservations(
-    views: MachineSelection, which: Callable[[MachineView], bool] = lambda view: True, kept: bool = True
+    views: MachineSelection,
+    ignore_gang_reservation: Callable[[MachineView], bool] = lambda view: True,
+    kept: bool = True,
 ) -> Iterator[None]:
-    """What is held on `which` of these machines does not count meanwhile, nor what is `gpu_reserved`.
+    """Suspend reservations of these machines within the `with` block.
 
-    What is taken stays."""
+    Reservations for gangs are suspended on the machines for which `ignore_gang_reservation` returns true.  Capacity
+    reserved for accelerator work is suspended if `kept` is true.  Capacity that is allocated within the
+    block stays allocated.
+    """
     reserved = [(v, v.held_for_gang, v.gpu_reserved_cpus, v.gpu_reserved_memory) for v in views.reserved()]
     for view, held_for, kept_cpus, kept_memory in reserved:
-        now_held = None if held_for and which(view) else held_for
+        now_held = None if held_for and ignore_gang_reservation(view) else held_for
         view.set_reservation(now_held, *((0.0, 0.0) if kept else (kept_cpus, kept_memory)))
     try:
         yield
@@ -181,32 +189,33 @@
 
 
 class RoomCheck:
-    """Whether there is room for a job at all, whatever is held or kept there; each kind of need is reckoned once.
+    """Checks quickly whether a job can have room at all; computes the room for each kind of need only once.
 
-    Of a job's zone rules only the one zone of a gang counts: `ignoring_reservations` and
-    a placement decide what this only looks for.
+    It is meant for views whose reservations are suspended by `ignoring_reservations`.  Of the rules on how
+    a job is spread over zones, it considers only that a gang may need a single zone.  So it only finds
+    candidates.  A placement under `ignoring_reservations` makes the decision.
     """
 
     def __init__(self, views: MachineSelection) -> None:
         self._views = views
-        self._known: dict[tuple, int] = {}
+        self._slots_by_needs: dict[tuple, int] = {}
 
     def has_room(self, spec: JobSpec, tasks: int) -> bool:
-        """Whether so many tasks at once have room."""
+        """Whether `tasks` tasks of the job have room at the same time."""
         needs = (*spec.needs, spec.one_zone)
-        if needs not in self._known:
+        if needs not in self._slots_by_needs:
             slots = self._views.slots(spec, whole=tasks > 1)
-            self._known[needs] = max(slots.values(), default=0) if spec.one_zone else slots.total()
-        return self._known[needs] >= tasks
+            self._slots_by_needs[needs] = max(slots.values(), default=0) if spec.one_zone else slots.total()
+        return self._slots_by_needs[needs] >= tasks
 
 
 def count_by_zone_and_machine(job: Job) -> tuple[Counter, Counter]:
-    """How many of the job's tasks each zone and each machine has, handed ones included."""
-    zones: Counter = Counter()
-    mates: Counter = Counter()
+    """Number of the job's tasks by zone, including dispatched ones, and by machine."""
+    tasks_by_zone: Counter = Counter()
+    tasks_by_machine: Counter = Counter()
     for placement in job.placements():
-        zones[placement.zone] += 1
-        mates[placement.machine] += 1
-    for _, handed in job.unstarted_dispatches():
-        zones[handed.zone] += 1
-    return zones, mates
+        tasks_by_zone[placement.zone] += 1
+        tasks_by_machine[placement.machine] += 1
+    for _, target in job.unstarted_dispatches():
+        tasks_by_zone[target.zone] += 1
+    return tasks_by_zone, tasks_by_machine
--- a/tests/test_event_costs.py
+++ b/tests/test_event_costs.py
@@ -32,7 +32,7 @@
     for node in world.nodes.values():
         for slice_ in (node.holder_scheduler, node.leader_scheduler):
             list(slice_._view_cache.fresh())  # the first look makes all of them
-            slice_._view_cache._make = counting(type(slice_).__name__, slice_._view)
+            slice_._view_cache._make_view = counting(type(slice_).__name__, slice_._view)
     world.filter = count
     before = world.store.revision
     world.submit("j-1", tasks=1, run_s=5.0)
@@ -60,7 +60,9 @@
     leader = world.leader()
     list(leader.leader_scheduler._view_cache.fresh())
     made = []
-    leader.leader_scheduler._view_cache._make = lambda name: made.append(name) or leader.leader_scheduler._view(name)
+    leader.leader_scheduler._view_cache._make_view = lambda name: (
+        made.append(name) or leader.leader_scheduler._view(name)
+    )
     list(leader.leader_scheduler._view_cache.fresh())
     assert made == []
     machine = leader.inventory.machines[worker_of(world, "j-1/0").name]
