--- a/kelpjunction/jobs/job_index.py
+++ b/kelpjunction/jobs/job_index.py
@@ -472,7 +472,7 @@
                 self._chunk_or_summary_changed(job, key, value, version)
                 self._reindex(job)
             elif value is not None:
-                # A listing may deliver a job's chunks and summary before the job's own record.
+                # A listing in key order may deliver a job's chunks and summary before the job's own record.
                 self._records_without_job.setdefault(ref, {})[key] = (value, version)
             else:
                 self._records_without_job.get(ref, {}).pop(key, None)
