--- a/kelpjunction/jobs/holder_scheduler.py
+++ b/kelpjunction/jobs/holder_scheduler.py
@@ -1,9 +1,10 @@
-"""A holder's rounds: what becomes of the tasks in the blocks that this node holds.
+"""The rounds of a holder, which manages the tasks in the blocks that this node holds.
 
-It writes down what its workers report, stops what must stop, and starts the
-tasks that the leader handed to its blocks, choosing the machines itself.  All
-its writes are guarded by its blocks' grants, so a holder that was superseded
-can't start anything, and it needs no leader to keep services up.
+A holder records what its workers report, stops tasks that must stop, and
+starts the tasks that the leader dispatched to its blocks.  It chooses their
+machines itself.  All its writes are guarded by the grants of its blocks, so a
+superseded holder cannot start anything.  It needs no leader to keep services
+running.
 """
 
 import logging
@@ -60,9 +61,9 @@
 
 log = logging.getLogger("jobs")
 
-MAX_RESULT_TXNS = 24  # records written before what was handed over is started
+MAX_RESULT_TXNS = 24  # result records written in one round before dispatched tasks are started
 MAX_START_TXNS = 24
-PAGE_FILL_LIMIT = 0.8  # of what a value may take: how long a page of attempts that are over may grow
+PAGE_FILL_LIMIT = 0.8  # largest size of a page of settled attempts, as a share of the size limit of a value
 SETTLED_ROW_BYTES = 16
 SETTLED_PAGE_WRITE_SHARE = 0.2
 LEASE_EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=500)
@@ -70,7 +71,7 @@
 
 
 class HolderScheduler:
-    """The tasks of the blocks that this node holds."""
+    """Starts, stops and records the tasks in the blocks that this node holds."""
 
     def __init__(
         self,
@@ -95,44 +96,44 @@
         self._worker_registry = worker_registry
         self._fleet = fleet
         self._clock = clock
-        self._expired_at = ZERO
+        self._leases_checked_at = ZERO
         self._view_cache = ViewCache(changes, fleet, lambda: worker_registry.workers, self._view)
-        # Of the rate of changes, what the pages of all blocks may take together.
+        # The pages of all blocks together may take SETTLED_PAGE_WRITE_SHARE of the write rate.
         self._settled_page_interval = seconds(
             len(platform.zones) / (SETTLED_PAGE_WRITE_SHARE * platform.store.write_rps)
         )
         self._settled_page_written_at: dict[str, timedelta] = {}
-        self._unplaced_since: dict[str, timedelta] = {}  # since when a handed job finds no room
+        self._unplaced_since: dict[str, timedelta] = {}  # by job: since when dispatched tasks have had no room
 
     def on_block_gained(self, zone: str) -> None:
-        """A block became ours: start from the records alone."""
+        """Drop earlier observations of a block that this node has just gained, and start from its records."""
         self._job_index.reset_observations(zone)
         self._worker_registry.clear(zone)
 
     def round(self) -> bool:
-        """Bring the records of our blocks up to date; whether another round should follow at once."""
+        """Run one round for the blocks of this node; returns whether another round should follow at once."""
         if not self._blocks.held_zones():
             return False
         self._raise_uncertain_tokens()
         now = self._clock.steady()
-        if now - self._expired_at >= LEASE_EXPIRY_CHECK_INTERVAL:
-            self._expired_at = now
+        if now - self._leases_checked_at >= LEASE_EXPIRY_CHECK_INTERVAL:
+            self._leases_checked_at = now
             self._worker_registry.settle_expired()
-        results = self._results()
-        if not self._record_writer.write(results):
+        result_txns = self._result_txns()
+        if not self._record_writer.write(result_txns):
             return True
         self.stop_required()
         started = self._start_dispatched()
-        return bool(results) or started
+        return bool(result_txns) or started
 
     def _raise_uncertain_tokens(self) -> None:
-        """Raise the token of blocks where a command may still be under way."""
+        """Issue new tokens for blocks in which an earlier command may still be in flight."""
         zones = sorted(self._worker_registry.zones_needing_new_token)
         if zones and self._blocks.issue_new_tokens(zones):
             self._worker_registry.zones_needing_new_token.difference_update(zones)
 
     def _guarded(self, job: Job, zones: set[str], purpose: Purpose | None = None) -> Transaction:
-        """A transaction that fails if the job was cancelled, or a block is not ours any more."""
+        """A transaction that fails if the job was cancelled, or if this node has lost one of the blocks."""
         txn = self._record_writer.guarded(job, purpose)
         for zone in zones:
             txn.guard(block_key(zone), self._blocks.grants[zone].version)
@@ -140,60 +141,63 @@
 
     # -- results ------------------------------------------------------------
 
-    def _results(self) -> list[Transaction]:
-        """What must be written about settled placements: services first, the rest as far as one round goes."""
-        touched: dict[str, set[int]] = {}
+    def _result_txns(self) -> list[Transaction]:
+        """Transactions that record settled placements: services first, then others up to MAX_RESULT_TXNS."""
+        chunks_by_job: dict[str, set[int]] = {}
         for placement in self._job_index.settled.values():
             if self._blocks.own_grant(placement.zone) is not None:
-                touched.setdefault(placement.task.ref, set()).add(placement.task.index // CHUNK_TASKS)
+                chunks_by_job.setdefault(placement.task.ref, set()).add(placement.task.index // CHUNK_TASKS)
         txns: list[Transaction] = []
-        over: dict[str, dict[tuple[str, int], set[SettledAttempt]]] = {}  # by block, what goes into its page
+        page_rows: dict[str, dict[tuple[str, int], set[SettledAttempt]]] = {}  # by block
         for job in sorted(
-            map(self._job_index.jobs.__getitem__, touched), key=lambda j: j.spec.shape is not Shape.SERVICE
+            map(self._job_index.jobs.__getitem__, chunks_by_job), key=lambda j: j.spec.shape is not Shape.SERVICE
         ):
             if len(txns) >= MAX_RESULT_TXNS:
                 break
-            txns.extend(self._settle_job(job, touched[job.spec.ref], over))
+            txns.extend(self._settle_job_txns(job, chunks_by_job[job.spec.ref], page_rows))
         now = self._clock.steady()
-        for zone, rows in over.items():
+        for zone, new_rows in page_rows.items():
             if (
                 now - self._settled_page_written_at.get(zone, -self._settled_page_interval)
                 >= self._settled_page_interval
             ):
                 self._settled_page_written_at[zone] = now
-                txns += self._settled_page_txns(zone, rows)
+                txns += self._settled_page_txns(zone, new_rows)
             else:
-                self._record_writer.work_deferred = True  # with what ends meanwhile, in a round soon
+                self._record_writer.work_deferred = True  # a later round writes these rows together with newer ones
         return txns
 
-    def _settle_job(
-        self, job: Job, numbers: set[int], pages: dict[str, dict[tuple[str, int], set[SettledAttempt]]]
+    def _settle_job_txns(
+        self, job: Job, chunk_numbers: set[int], page_rows: dict[str, dict[tuple[str, int], set[SettledAttempt]]]
     ) -> list[Transaction]:
-        """What is to be written of a job's settled placements; or it is put into their blocks' pages."""
-        over = [p for p in job.placements() if p.phase is Phase.SETTLED and self._blocks.own_grant(p.zone) is not None]
-        if job.spec.shape is Shape.GANG and any(p.cause is ExitCause.DONE for p in over):
-            # They complete together, those in other blocks too.
-            numbers = set(job.chunks)
-            over = list(job.placements())
-            done = set(over)
+        """Transactions that record a job's settled placements, unless rows added to `page_rows` are enough."""
+        settled = [
+            p for p in job.placements() if p.phase is Phase.SETTLED and self._blocks.own_grant(p.zone) is not None
+        ]
+        if job.spec.shape is Shape.GANG and any(p.cause is ExitCause.DONE for p in settled):
+            # A gang's tasks complete together, including those in other blocks.
+            chunk_numbers = set(job.chunks)
+            settled = list(job.placements())
+            done = set(settled)
         else:
-            done = {p for p in over if p.cause is ExitCause.DONE}
-        records = {number: self._record_without_settled(job, number, set(over), done) for number in numbers}
+            done = {p for p in settled if p.cause is ExitCause.DONE}
+        records = {number: self._record_without_settled(job, number, set(settled), done) for number in chunk_numbers}
         if not job.cancelled and self._finished(job, records):
             return [self._record_writer.end_transaction(job)]
-        if self._settled_page_suffices(job, over, records):
-            for p in over:
+        if self._settled_page_suffices(job, settled, records):
+            for p in settled:
                 number, index = divmod(p.task.index, CHUNK_TASKS)
                 row = SettledAttempt(index, p.attempt, p in done)
-                pages.setdefault(p.zone, {}).setdefault((job.spec.ref, number), set()).add(row)
+                page_rows.setdefault(p.zone, {}).setdefault((job.spec.ref, number), set()).add(row)
             return []
-        return self._chunk_txns(job, records, {p.zone for p in over if self._blocks.own_grant(p.zone) is not None})
+        return self._chunk_txns(job, records, {p.zone for p in settled if self._blocks.own_grant(p.zone) is not None})
 
     def _settled_page_suffices(self, job: Job, settled: list[Placement], records: dict[int, dict]) -> bool:
-        """Whether all that is to be said of these placements is that they are over, so that their block's page can.
+        """Whether rows in the block's page are enough to record these placements.
 
-        Not what speaks against machines, nor what is metered, nor a chunk that
-        is all done and can be folded away.
+        A row only says that an attempt is settled and whether its task is done.
+        Chunk records must be written for failures that count against machines,
+        for metered machine time, and for a completed chunk that can be folded.
         """
         return (
             job.spec.shape is Shape.ARRAY
@@ -202,52 +206,52 @@
             and (job.chunk_count == 1 or all(r["d"].bit_count() < job.chunk_size(n) for n, r in records.items()))
         )
 
-    def _settled_page_txns(self, zone: str, new: dict[tuple[str, int], set[SettledAttempt]]) -> list[Transaction]:
-        """A block's page with these rows; what makes it too long is folded into its chunks' records."""
+    def _settled_page_txns(self, zone: str, new_rows: dict[tuple[str, int], set[SettledAttempt]]) -> list[Transaction]:
+        """Write a block's page with these rows added; rows that exceed its size limit move to their chunks' records."""
         rows = self._job_index.settled_rows(zone)
-        for chunk, overs in new.items():
-            rows[chunk] = rows.get(chunk, set()) | overs
+        for chunk, settled_attempts in new_rows.items():
+            rows[chunk] = rows.get(chunk, set()) | settled_attempts
         txns: list[Transaction] = []
-        room = self._record_writer.value_bytes * PAGE_FILL_LIMIT - 20
+        bytes_left = self._record_writer.value_bytes * PAGE_FILL_LIMIT - 20
         for ref, number in sorted(rows, key=lambda c: len(rows[c])):
-            room -= len(ref) + 20 + SETTLED_ROW_BYTES * len(rows[ref, number])
-            if room < 0:
+            bytes_left -= len(ref) + 20 + SETTLED_ROW_BYTES * len(rows[ref, number])
+            if bytes_left < 0:
                 del rows[ref, number]
                 job = self._job_index.jobs[ref]
                 txns += self._chunk_txns(
-                    job, {number: self._record_with_settled_rows(job, number, new.get((ref, number), ()))}, {zone}
+                    job, {number: self._record_with_settled_rows(job, number, new_rows.get((ref, number), ()))}, {zone}
                 )
         key = SETTLED_PREFIX + zone
         txn = Transaction(Purpose.RESULT).guard(block_key(zone), self._blocks.grants[zone].version)
         return [txn.guard(key, self._record_writer.version(key)).put(key, settled_page(rows)), *txns]
 
-    def _record_with_settled_rows(self, job: Job, number: int, overs: Iterable[SettledAttempt]) -> dict:
-        """A chunk's record with what its block's page says of it, and with these rows too."""
+    def _record_with_settled_rows(self, job: Job, number: int, settled_attempts: Iterable[SettledAttempt]) -> dict:
+        """A chunk's record with the rows of its block's page and these new rows applied."""
         record = job.chunks[number].record()
-        gone = {o.index for o in overs}
-        record["p"] = [row for row in record["p"] if row[0] not in gone]
-        record["h"] = [row for row in record["h"] if row[0] not in gone]
-        for index, _, done in overs:
+        settled_indexes = {attempt.index for attempt in settled_attempts}
+        record["p"] = [row for row in record["p"] if row[0] not in settled_indexes]
+        record["h"] = [row for row in record["h"] if row[0] not in settled_indexes]
+        for index, _, done in settled_attempts:
             record["d"] |= int(done) << index
         return record
 
     def _record_without_settled(self, job: Job, number: int, settled: set[Placement], done: set[Placement]) -> dict:
-        """A chunk's record without what is over; what did not end well goes back to the leader."""
+        """A chunk's record without settled placements; unfinished tasks, except replicas, return to the leader."""
         chunk = job.chunks[number]
         record = chunk.record()
-        gone = {i for i, p in chunk.placements.items() if p in settled}
-        # A service's replica is started again in its block even if nobody
-        # leads; everything else the leader hands over anew.
-        keep = job.spec.shape is Shape.SERVICE and not job.cancelled
-        record["p"] = [row for row in record["p"] if row[0] not in gone]
-        record["h"] = [row for row in record["h"] if row[0] not in gone or keep]
+        settled_indexes = {i for i, p in chunk.placements.items() if p in settled}
+        # A service's replica is restarted in its block even without a leader,
+        # so its dispatch is kept.  The leader dispatches all other tasks again.
+        keep_dispatches = job.spec.shape is Shape.SERVICE and not job.cancelled
+        record["p"] = [row for row in record["p"] if row[0] not in settled_indexes]
+        record["h"] = [row for row in record["h"] if row[0] not in settled_indexes or keep_dispatches]
         now = job.age_ms(self._clock.utc())
         for i, placement in chunk.placements.items():
             if placement in done:
                 record["d"] |= 1 << i
-            if i in gone and (held := placement.machine_time_ms(now)):
-                record["u"] = record.get("u", 0) + held
-        failed = [p.machine for i, p in chunk.placements.items() if i in gone and p.cause is ExitCause.ERROR]
+            if i in settled_indexes and (machine_time_ms := placement.machine_time_ms(now)):
+                record["u"] = record.get("u", 0) + machine_time_ms
+        failed = [p.machine for i, p in chunk.placements.items() if i in settled_indexes and p.cause is ExitCause.ERROR]
         return record | chunk.failure_fields(failed) if failed else record
 
     def _finished(self, job: Job, records: dict[int, dict]) -> bool:
@@ -261,21 +265,21 @@
         return done >= job.spec.tasks
 
     def _chunk_txns(self, job: Job, records: dict[int, dict], zones: set[str]) -> list[Transaction]:
-        """Chunks as they now stand; a chunk that is all done is folded into the sum, one in a round."""
+        """Write these chunk records; a completed chunk is folded into the job's sum instead, at most one per call."""
         txns: list[Transaction] = []
         purpose = Purpose.SERVICE if job.spec.shape is Shape.SERVICE else Purpose.RESULT
-        folded = False
+        has_folded = False
         for number, record in sorted(records.items()):
             key = run_key(job.spec.ref, number)
             txn = self._guarded(job, zones, purpose).guard(key, job.chunks[number].version)
-            whole = record["d"].bit_count() == job.chunk_size(number)
-            if whole and not record["p"] and job.chunk_count > 1 and not folded:
-                folded = True
+            complete = record["d"].bit_count() == job.chunk_size(number)
+            if complete and not record["p"] and job.chunk_count > 1 and not has_folded:
+                has_folded = True
                 sum_key = SUM_PREFIX + job.spec.ref
-                folded_up = {"full": ranges(job.folded_chunks | {number})}
-                if spent := job.folded_ms + record.get("u", 0):
-                    folded_up["u"] = spent
-                txn.guard(sum_key, job.sum_version).put(sum_key, folded_up)
+                sum_record = {"full": ranges(job.folded_chunks | {number})}
+                if folded_ms := job.folded_ms + record.get("u", 0):
+                    sum_record["u"] = folded_ms
+                txn.guard(sum_key, job.sum_version).put(sum_key, sum_record)
                 txn.delete(key)
             else:
                 txn.put(key, record)
@@ -285,21 +289,22 @@
     # -- stopping -----------------------------------------------------------
 
     def stop_required(self) -> None:
-        """Stop tasks of cancelled jobs, of broken gangs, and on machines about to be taken.
+        """Stop tasks of cancelled jobs and broken gangs, and tasks on machines about to be reclaimed.
 
-        Writes nothing and waits for nothing, so it has a loop of its own: once
-        rounds stood for 20 s behind a state service that refused, and tasks of
-        cancelled jobs ran on for longer than they may.
+        This writes no records and waits for nothing, so it also runs in a loop
+        of its own.  When only rounds called it, they once stalled for 20 s while
+        the state service refused requests, and tasks of cancelled jobs ran
+        longer than allowed.
         """
-        told: list[Placement] = []
+        stopped: list[Placement] = []
         for ref in self._job_index.cancelled:
-            told += self._stop_all(self._job_index.jobs[ref], ZERO, "cancelled")
+            stopped += self._stop_all(self._job_index.jobs[ref], ZERO, "cancelled")
         for ref in self._job_index.gangs - self._job_index.cancelled:
             job = self._job_index.jobs[ref]
             if job.broken_gang():
-                told += self._stop_all(job, ZERO, "its gang is not whole")
+                stopped += self._stop_all(job, ZERO, "its gang is not whole")
             elif not all(p.is_active for p in job.placements()):
-                told += self._stop_all(job, job.spec.save, "its gang is being stopped")
+                stopped += self._stop_all(job, job.spec.save, "its gang is being stopped")
         now = self._clock.steady()
         for worker in self._worker_registry.workers.values():
             if worker.reclaim_at is None:
@@ -309,11 +314,14 @@
                 margin = spec.save * 1.2 + self._platform.workers.report * 1.5
                 if placement.is_active and spec.checkpoint and worker.reclaim_at - now < margin:
                     self._worker_registry.stop(placement, spec.save, "its machine is taken back")
-                    told.append(placement)
-        self._worker_registry.send(told)
+                    stopped.append(placement)
+        self._worker_registry.send(stopped)
 
     def _stop_all(self, job: Job, grace: timedelta, reason: str) -> list[Placement]:
-        """Stop all of a job's tasks in our blocks; of those that are saving, such as may do so for longer."""
+        """Stop a job's tasks in this node's blocks.
+
+        This includes tasks that are already stopping with a grace period longer than `grace`.
+        """
         stopped = [
             p
             for p in job.placements()
@@ -327,37 +335,43 @@
     # -- starting -----------------------------------------------------------
 
     def _start_dispatched(self) -> bool:
-        """Start what the leader handed to our blocks; whether anything was started or handed back."""
-        handed: dict[str, list[tuple[TaskId, DispatchTarget]]] = {}
+        """Start tasks dispatched to this node's blocks; returns whether another round should follow at once."""
+        dispatched: dict[str, list[tuple[TaskId, DispatchTarget]]] = {}
         for job in map(self._job_index.jobs.__getitem__, self._job_index.dispatched_jobs):
-            ours = [(t, h) for t, h in job.unstarted_dispatches() if self._blocks.own_grant(h.zone) is not None]
+            startable = [
+                (t, target)
+                for t, target in job.unstarted_dispatches()
+                if self._blocks.own_grant(target.zone) is not None
+            ]
             if job.spec.shape is Shape.SERVICE and job.failures and self._failure_attribution.is_failing_job(job):
-                # Its replicas are restarted here, without the leader.
-                ours = ours[: 1 if self._failure_attribution.retry_due(job) else 0]
-            if ours:
-                handed[job.spec.ref] = ours
-        self._unplaced_since = {ref: since for ref, since in self._unplaced_since.items() if ref in handed}
-        if not handed:
+                # The holder restarts replicas without the leader, so it limits their retries itself.
+                startable = startable[: 1 if self._failure_attribution.retry_due(job) else 0]
+            if startable:
+                dispatched[job.spec.ref] = startable
+        self._unplaced_since = {
+            ref: waiting_since for ref, waiting_since in self._unplaced_since.items() if ref in dispatched
+        }
+        if not dispatched:
             return False
         self._fleet.note_accelerator_specs()
         views = self._views()
         txns: list[Transaction] = []
         written: Counter[Shape] = Counter()
         starting: list[TaskId] = []
-        roomless: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]] = []
-        more = False
-        for ref in self._order(handed):
+        unplaced: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]] = []
+        more_remain = False
+        for ref in self._start_order(dispatched):
             job = self._job_index.jobs[ref]
             if written[job.spec.shape] >= MAX_START_TXNS and job.spec.shape is not Shape.SERVICE:
-                more = True
-                continue  # in the next round: what it writes now must not keep services waiting
-            starts, left = self._choose(job, handed[ref], views)
+                more_remain = True
+                continue  # the next round starts it: its writes must not delay services now
+            starts, without_room = self._choose_machines(job, dispatched[ref], views)
             if starts:
-                txns += (new := self._start_txns(job, starts))
-                written[job.spec.shape] += len(new)
+                txns += (job_txns := self._start_txns(job, starts))
+                written[job.spec.shape] += len(job_txns)
                 starting += [task for task, _, _ in starts]
-            if left:
-                roomless.append((job, left))
+            if without_room:
+                unplaced.append((job, without_room))
             else:
                 self._unplaced_since.pop(ref, None)
         if txns:
@@ -365,17 +379,19 @@
                 return True
             placed = [self._job_index.placement(task) for task in starting]
             self._worker_registry.send([p for p in placed if p is not None and p.is_active])
-        back = self._preempt_or_return(roomless, views)
-        return bool(txns) or back or more
+        returned = self._preempt_or_return(unplaced, views)
+        return bool(txns) or returned or more_remain
 
-    def _order(self, handed: dict[str, list]) -> list[str]:
-        """By deficit, but gangs before arrays, and before all others those whose machines the leader named.
+    def _start_order(self, dispatched: dict[str, list]) -> list[str]:
+        """The order in which dispatched jobs choose machines.
 
-        The leader found room for all of it together.  An array that chose its
-        machines first here took those that the gang needed whole.
+        Jobs for which the leader named machines come first, then services and
+        gangs, then arrays; each group is ordered by deficit.  The leader found
+        room for all these jobs together.  When an array chose its machines
+        first, it took machines that a gang needed entirely.
         """
-        jobs = [self._job_index.jobs[ref] for ref in handed]
-        order = in_order(
+        jobs = [self._job_index.jobs[ref] for ref in dispatched]
+        by_deficit = in_order(
             (
                 PendingJob(j.spec.ref, weight_of(j.spec, self._operators), j.submitted, j.task_time_received)
                 for j in jobs
@@ -384,77 +400,78 @@
             self._operators.arrival_credit,
         )
 
-        def turn(ref: str) -> int:
-            if any(h.machine is not None for _, h in handed[ref]):
+        def start_group(ref: str) -> int:
+            if any(target.machine is not None for _, target in dispatched[ref]):
                 return 0
             return 2 if self._job_index.jobs[ref].spec.shape is Shape.ARRAY else 1
 
-        return sorted(order, key=turn)
+        return sorted(by_deficit, key=start_group)
 
-    def _choose(
+    def _choose_machines(
         self, job: Job, dispatched: list[tuple[TaskId, DispatchTarget]], views: MachineSelection
     ) -> tuple[list[tuple[TaskId, MachineView, int | None]], list[tuple[TaskId, DispatchTarget]]]:
-        """Machines for a job's handed tasks; and the tasks that found none."""
+        """Machines (and named attempts) for a job's dispatched tasks, and the tasks that found no machine."""
         spec = job.spec
         able = able_for(job, views)
         if spec.shape is Shape.GANG:
-            return self._choose_for_gang(job, dispatched, able, views)
+            return self._choose_gang_machines(job, dispatched, able, views)
         starts: list[tuple[TaskId, MachineView, int | None]] = []
-        left: list[tuple[TaskId, DispatchTarget]] = []
-        _, mates = count_by_zone_and_machine(job)
-        plain: list[tuple[TaskId, DispatchTarget]] = []
-        for task, handed in dispatched:
-            # The leader named a machine that is held or kept here, as the job had stood beside its room for long.
-            view = able.get(handed.machine)
+        without_room: list[tuple[TaskId, DispatchTarget]] = []
+        _, tasks_by_machine = count_by_zone_and_machine(job)
+        without_machine: list[tuple[TaskId, DispatchTarget]] = []
+        for task, target in dispatched:
+            # The leader names a machine whose room is reserved if the job has waited long although that room was free.
+            # The room is reserved in this node's views too, so reservations are ignored here.
+            view = able.get(target.machine)
             if view is not None and view.fits_ignoring_reservations(spec):
                 view.allocate(spec)
-                starts.append((task, view, handed.attempt))
+                starts.append((task, view, target.attempt))
             else:
-                plain.append((task, handed))  # that room is gone, or none was named: anywhere in the block
-        dispatched = plain
-        for zone in sorted({h.zone for _, h in dispatched}):
-            tasks = [(t, h) for t, h in dispatched if h.zone == zone]
-            there = able.within([zone])
-            chosen = place(spec, len(tasks), there, Counter(), mates, self._fleet.price_limit(job))
+                without_machine.append((task, target))  # none named, or its room is taken: any machine of the block
+        dispatched = without_machine
+        for zone in sorted({d.zone for _, d in dispatched}):
+            tasks = [(t, d) for t, d in dispatched if d.zone == zone]
+            block_views = able.within([zone])
+            chosen = place(spec, len(tasks), block_views, Counter(), tasks_by_machine, self._fleet.price_limit(job))
             starts += [(task, view, None) for (task, _), view in zip(tasks, chosen, strict=False)]
-            left += tasks[len(chosen) :]
-        return starts, left
+            without_room += tasks[len(chosen) :]
+        return starts, without_room
 
-    def _choose_for_gang(
+    def _choose_gang_machines(
         self, job: Job, dispatched: list[tuple[TaskId, DispatchTarget]], able: MachineSelection, views: MachineSelection
     ) -> tuple[list[tuple[TaskId, MachineView, int | None]], list[tuple[TaskId, DispatchTarget]]]:
-        """A gang that spans blocks starts where the leader said; one that was handed whole, where it fits."""
+        """Machines for a gang: those the leader named if it spans blocks, else any in its block that fit all of it."""
         spec = job.spec
-        named = [(t, h) for t, h in dispatched if h.machine is not None]
+        named = [(t, d) for t, d in dispatched if d.machine is not None]
         if named:
             starts = []
-            for task, handed in named:
-                view = able.get(handed.machine)
+            for task, target in named:
+                view = able.get(target.machine)
                 if view is None or not view.fits_ignoring_reservations(spec):
                     return [], named
                 view.allocate(spec)
-                starts.append((task, view, handed.attempt))
+                starts.append((task, view, target.attempt))
             return starts, []
         if len(dispatched) < spec.tasks or job.placed_count():
-            return [], []  # the rest of it is still being handed over, or leaving
-        zones = {h.zone for _, h in dispatched}
+            return [], []  # its other tasks are not dispatched yet, or earlier attempts are not settled yet
+        zones = {d.zone for _, d in dispatched}
         chosen = place_gang(spec, able.within(zones))
         if chosen is not None:
             attempt = max(c.next_attempt for c in job.chunks.values())
             return [(task, view, attempt) for (task, _), view in zip(dispatched, chosen, strict=True)], []
-        # Nothing below it in the order starts on the machines picked for it.
-        fit = fitting(spec, able.within(zones))
-        held = place_gang(spec, [with_services_only(v, self._on(v)) for v in fit]) or []
-        for name in {v.name for v in held}:
+        # Reserve machines for the gang, so that later jobs in the order do not start on them.
+        suitable = fitting(spec, able.within(zones))
+        reserved = place_gang(spec, [with_services_only(v, self._placements_on(v)) for v in suitable]) or []
+        for name in {v.name for v in reserved}:
             views.get(name).hold_for_gang(spec.ref)
-        return [], [] if held else dispatched
+        return [], [] if reserved else dispatched
 
-    def _on(self, view: MachineView) -> list[Placement]:
+    def _placements_on(self, view: MachineView) -> list[Placement]:
         return list(self._job_index.placements_on(view.name).values())
 
     def _start_txns(self, job: Job, starts: list[tuple[TaskId, MachineView, int | None]]) -> list[Transaction]:
-        """Launch records, guarded by the job, the chunk and the blocks' grants."""
-        metered = [job.age_ms(self._clock.utc())] if self._operators.records_machine_time else []
+        """Transactions that record these starts, guarded by the job, the chunk and the blocks' grants."""
+        started_ms = [job.age_ms(self._clock.utc())] if self._operators.records_machine_time else []
         by_chunk: dict[int, list[tuple[TaskId, MachineView, int | None]]] = {}
         for start in starts:
             by_chunk.setdefault(start[0].index // CHUNK_TASKS, []).append(start)
@@ -465,30 +482,30 @@
             txn = self._guarded(job, {view.zone for _, view, _ in group})
             txn.guard(run_key(job.spec.ref, number), chunk.version)
             if not chunk.version and job.chunk_count > 1:
-                # It may have been written, done and folded away since it was handed over.
+                # A chunk that was written, completed and folded since its dispatch has no record either.
                 txn.guard(SUM_PREFIX + job.spec.ref, job.sum_version)
-            for task, view, named in group:
-                attempt = chunk.next_attempt if named is None else named
+            for task, view, named_attempt in group:
+                attempt = chunk.next_attempt if named_attempt is None else named_attempt
                 record["n"] = max(record["n"], attempt + 1)
                 session = self._worker_registry.workers[view.name].session
-                record["p"].append([task.index % CHUNK_TASKS, attempt, view.name, session, view.zone, *metered])
+                record["p"].append([task.index % CHUNK_TASKS, attempt, view.name, session, view.zone, *started_ms])
             txns.append(txn.put(run_key(job.spec.ref, number), record))
         return txns
 
     def _views(self) -> MachineSelection:
-        """Machines of our blocks that can take work now; each block is chosen from by itself."""
-        heard_since = self._clock.steady() - self._platform.workers.report * 2.5
+        """The machines in this node's blocks that can take work now; callers choose within each block separately."""
+        min_proved_at = self._clock.steady() - self._platform.workers.report * 2.5
         workers = self._worker_registry.workers
 
         def ready(view: MachineView) -> bool:
-            # A worker may be forgotten while this round waits for an answer.
+            # The registry may drop a worker while this round waits for a request to finish.
             worker = workers.get(view.name)
-            return worker is not None and worker.reachability_tracker.proved_at >= heard_since
+            return worker is not None and worker.reachability_tracker.proved_at >= min_proved_at
 
         return replace(self._view_cache.fresh().within(self._blocks.held_zones()), ready=ready)
 
     def _view(self, name: str) -> MachineView | None:
-        """A machine that reports to us and is not about to be taken."""
+        """A machine's view, or None if it is not usable or its worker is not reachable from this node."""
         worker, machine = self._worker_registry.workers.get(name), self._fleet.machines.get(name)
         type_ = self._fleet.catalog.get(machine.type) if machine else None
         if worker is None or type_ is None or not machine.usable:
@@ -501,81 +518,85 @@
     # -- making room ----------------------------------------------------------
 
     def _preempt_or_return(
-        self, roomless: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]], views: MachineSelection
+        self, unplaced: list[tuple[Job, list[tuple[TaskId, DispatchTarget]]]], views: MachineSelection
     ) -> bool:
-        """Stop others for those without room; give back to the leader what finds none here."""
-        if not roomless:
+        """Preempt others for unplaced tasks, or return the tasks to the leader; returns whether any were returned."""
+        if not unplaced:
             return False
         now = self._clock.steady()
-        victims = self._victims([job for job, _ in roomless], views, now)
-        stops = PreemptionCache(victims, self._preemption_policy)
-        told: list[Placement] = []
-        back: list[Transaction] = []
-        for job, left in roomless:
+        victims = self._victims_by_machine([job for job, _ in unplaced], views, now)
+        preemptions = PreemptionCache(victims, self._preemption_policy)
+        stopped: list[Placement] = []
+        return_txns: list[Transaction] = []
+        for job, tasks in unplaced:
             if job.spec.ref not in self._job_index.jobs:
-                continue  # it ended while the launches were written
+                continue  # it ended while the starts were written
             since = self._unplaced_since.setdefault(job.spec.ref, now)
-            if job.spec.shape is not Shape.GANG and self._preempt_for(job, left, views, stops, told):
+            if job.spec.shape is not Shape.GANG and self._preempt_for(job, tasks, views, preemptions, stopped):
                 continue
             if now - since >= DISPATCH_RETURN_DELAY:
                 del self._unplaced_since[job.spec.ref]
-                back += self._return_dispatches(job, left)
-        self._worker_registry.send(told)
-        if back:
-            self._record_writer.write(back)
-        return bool(back)
+                return_txns += self._return_dispatches(job, tasks)
+        self._worker_registry.send(stopped)
+        if return_txns:
+            self._record_writer.write(return_txns)
+        return bool(return_txns)
 
     def _return_dispatches(self, job: Job, unplaced: list[tuple[TaskId, DispatchTarget]]) -> list[Transaction]:
-        log.info("job %s: no room here for %d of its tasks", job.spec.ref, len(unplaced))
+        log.info("job %s: returning %d tasks to the leader: no room in their blocks", job.spec.ref, len(unplaced))
         txns = []
         for number in sorted({t.index // CHUNK_TASKS for t, _ in unplaced}):
-            mine = {t.index % CHUNK_TASKS for t, _ in unplaced if t.index // CHUNK_TASKS == number}
+            indexes = {t.index % CHUNK_TASKS for t, _ in unplaced if t.index // CHUNK_TASKS == number}
             chunk = job.chunks[number]
             record = chunk.record()
-            record["h"] = [row for row in record["h"] if row[0] not in mine]
+            record["h"] = [row for row in record["h"] if row[0] not in indexes]
             key = run_key(job.spec.ref, number)
-            zones = {h.zone for _, h in unplaced}
+            zones = {target.zone for _, target in unplaced}
             txns.append(self._guarded(job, zones).guard(key, chunk.version).put(key, record))
         return txns
 
-    def _victims(self, jobs: list[Job], views: MachineSelection, now: timedelta) -> dict[str, list[Victim]]:
-        """What could be stopped for these jobs, by machine; room that is being freed is given to the views."""
+    def _victims_by_machine(self, jobs: list[Job], views: MachineSelection, now: timedelta) -> dict[str, list[Victim]]:
+        """Placements that may be stopped for these jobs, by machine; in `views`, room of stopping tasks is freed."""
         for view in list(views):
             for placement in self._job_index.placements_on(view.name).values():
                 if placement.phase is Phase.STOPPING:
                     view.release(placement.spec)
 
-        def victim(placement: Placement) -> Victim | None:
-            ours = placement.is_active and self._blocks.own_grant(placement.zone) is not None
-            return self._victim(placement, now) if ours else None
+        def victim_of(placement: Placement) -> Victim | None:
+            stoppable = placement.is_active and self._blocks.own_grant(placement.zone) is not None
+            return self._make_victim(placement, now) if stoppable else None
 
-        return preemption_candidates(self._job_index, self._preemption_policy, [job.spec for job in jobs], victim)
+        return preemption_candidates(self._job_index, self._preemption_policy, [job.spec for job in jobs], victim_of)
 
     def _preempt_for(
         self,
         job: Job,
         unplaced: list[tuple[TaskId, DispatchTarget]],
         views: MachineSelection,
-        stops: PreemptionCache,
+        preemptions: PreemptionCache,
         stopped: list[Placement],
     ) -> bool:
-        """Stop others for these tasks, as far as the job may; whether all of them will find room."""
+        """Preempt what the job may preempt for these tasks; returns whether all of them will have room."""
         spec = job.spec
-        _, mates = count_by_zone_and_machine(job)
-        for zone in sorted({h.zone for _, h in unplaced}):
-            there = views.within([zone])
-            count = sum(h.zone == zone for _, h in unplaced)
-            count -= len(place(spec, count, there, Counter(), mates, self._fleet.price_limit(job)))
-            found = plan_preemptions(spec, count, there, stops, Counter())
-            for _, chosen in found:
+        _, tasks_by_machine = count_by_zone_and_machine(job)
+        for zone in sorted({target.zone for _, target in unplaced}):
+            block_views = views.within([zone])
+            count = sum(target.zone == zone for _, target in unplaced)
+            count -= len(place(spec, count, block_views, Counter(), tasks_by_machine, self._fleet.price_limit(job)))
+            plan = plan_preemptions(spec, count, block_views, preemptions, Counter())
+            for _, chosen in plan:
                 for victim in chosen:
                     stopped += self._stop_victim(victim.placement, spec)
-            if len(found) < count:
+            if len(plan) < count:
                 return False
         return True
 
-    def _victim(self, placement: Placement, now: timedelta) -> Victim:
-        """What stopping this task would lose: its run since its last checkpoint, or what a gang's saving takes."""
+    def _make_victim(self, placement: Placement, now: timedelta) -> Victim:
+        """A placement with the run time lost by stopping it.
+
+        The loss is the time since the last checkpoint, or for a gang the time
+        that all its tasks together need to save.
+        """
         spec = placement.spec
         loss = now - placement.running_since if placement.running_since is not None else ZERO
         if spec.checkpoint:
@@ -584,17 +605,17 @@
             loss = (spec.save + seconds(1)) * spec.tasks
         return Victim(placement, spec, loss)
 
-    def _stop_victim(self, placement: Placement, for_: JobSpec) -> list[Placement]:
+    def _stop_victim(self, placement: Placement, preemptor: JobSpec) -> list[Placement]:
         job = self._job_index.jobs[placement.task.ref]
-        why = f"{for_.ref} needs its room"
-        log.info("stopping %s on %s: %s", placement.task, placement.machine, why)
+        reason = f"{preemptor.ref} needs its room"
+        log.info("stopping %s on %s: %s", placement.task, placement.machine, reason)
         if job.spec.shape is Shape.GANG:
-            return self._stop_all(job, job.spec.save, why)
-        # No time to save for a service that waits: the last checkpoint is not far.
-        self._worker_registry.stop(placement, ZERO if for_.shape is Shape.SERVICE else placement.spec.save, why)
+            return self._stop_all(job, job.spec.save, reason)
+        # A waiting service does not wait for a save; the last checkpoint is recent, so little work is lost.
+        self._worker_registry.stop(placement, ZERO if preemptor.shape is Shape.SERVICE else placement.spec.save, reason)
         return [placement]
 
 
 def weight_of(spec: JobSpec, operators: OperatorSettings) -> float:
-    """How fast a waiting job's deficit grows: by its shape, and by its urgency within the shape."""
+    """How fast a waiting job's deficit grows: the weight of its shape times the weight of its priority."""
     return operators.class_weights[spec.shape.value] * operators.urgency_weights[spec.priority.name.lower()]
