--- a/kelpjunction/jobs/failure_attribution.py
+++ b/kelpjunction/jobs/failure_attribution.py
@@ -1,11 +1,11 @@
-"""Whom a failed task speaks against: its job, or the machine it ran on.  And how often a wrong job is tried.
-
-The evidence is in the jobs' records (`Job.failed_on`), so that it outlives
-holders and leaders; only when the next try is due is each node's own note.
-A job that failed on several machines and never ended well is wrong: it is
-tried ever more rarely, a task at a time.  A machine is faulty if a job that
-ends well elsewhere failed on it, or several that failed nowhere else did, and
-nothing has ended well on it since.
+"""Decides whether failed tasks are the fault of their job or of a machine, and how often a failing job is retried.
+
+The evidence is in the jobs' records (`Job.failed_on`), so it outlives holders
+and leaders.  The time of the next retry is not stored: each node keeps its own.
+A job is failing if its tasks failed on several machines and none was ever
+done.  It is retried one task at a time, with a growing backoff.  A machine is
+faulty if a job with done tasks failed on it, or if several jobs failed on it
+that failed nowhere else, and no task has been done on it since.
 """
 
 import logging
@@ -20,7 +20,7 @@
 log = logging.getLogger("jobs")
 
 MIN_FAILED_MACHINES = 3
-MIN_FAILURES = 8  # on two machines: there may be no third
+MIN_FAILURES = 8  # enough on two machines, because there may be no third to try
 MIN_FAILED_JOBS = 2
 INITIAL_RETRY_BACKOFF = timedelta(seconds=4)
 MAX_RETRY_BACKOFF = timedelta(seconds=60)
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class _RetryState:
-    """How many failures of a wrong job were counted when its next try was put off, and until when."""
+    """The backoff of a failing job: its failure count when the next retry was set, and the time of that retry."""
 
     failures: int
     backoff: timedelta
@@ -36,7 +36,7 @@
 
 
 class FailureAttribution:
-    """Judges jobs and machines by what failed where."""
+    """Identifies failing jobs and faulty machines from the machines that jobs failed on."""
 
     def __init__(self, job_index: JobIndex, clock: Clock) -> None:
         self._job_index = job_index
@@ -46,20 +46,22 @@
     # -- jobs -----------------------------------------------------------------
 
     def is_failing_job(self, job: Job) -> bool:
-        """Whether a job fails wherever it is put.
+        """Whether a job fails on every machine it is tried on.
 
-        A gang and a single task fail on one machine at a time, so that two
-        are enough: each try takes as long as its image.
+        A gang or a single task fails on one machine per attempt, and each
+        attempt takes as long as fetching its image.  So failures on two
+        machines are enough for it.
         """
         if job.done_count() or len(job.failed_on) < 2:
             return False
-        alone = job.spec.shape is Shape.GANG or job.spec.tasks == 1
-        return alone or len(job.failed_on) >= MIN_FAILED_MACHINES or job.failures >= MIN_FAILURES
+        tried_singly = job.spec.shape is Shape.GANG or job.spec.tasks == 1
+        return tried_singly or len(job.failed_on) >= MIN_FAILED_MACHINES or job.failures >= MIN_FAILURES
 
     def retry_limit(self, job: Job) -> int | None:
-        """How many more tasks of the job may be tried now; None: as many as there are.
+        """How many more tasks of the job may be started now, or None for no limit.
 
-        While others of its tasks run, they may yet show that it is not wrong.
+        None of a failing job's tasks are started while others are dispatched
+        or placed, because those may still show that the job is not failing.
         """
         if not job.failures or not self.is_failing_job(job):
             return None
@@ -68,37 +70,39 @@
         return job.spec.tasks if job.spec.shape is Shape.GANG else 1
 
     def retry_due(self, job: Job) -> bool:
-        """Whether a wrong job may be tried again; each failure of a try doubles the pause before the next."""
+        """Whether a failing job may be retried now; each failed retry doubles the backoff up to MAX_RETRY_BACKOFF."""
         now = self._clock.steady()
-        tries = self._retry_states.get(job.spec.ref)
-        if tries is None:
-            self._retry_states = {ref: t for ref, t in self._retry_states.items() if ref in self._job_index.jobs}
+        state = self._retry_states.get(job.spec.ref)
+        if state is None:
+            self._retry_states = {
+                ref: known for ref, known in self._retry_states.items() if ref in self._job_index.jobs
+            }
             log.info(
-                "job %s failed on %d machines and never ended well: it is tried ever more rarely",
+                "job %s failed on %d machines and no task was ever done: retrying with growing backoff",
                 job.spec.ref,
                 len(job.failed_on),
             )
-            tries = self._retry_states[job.spec.ref] = _RetryState(
+            state = self._retry_states[job.spec.ref] = _RetryState(
                 job.failures, INITIAL_RETRY_BACKOFF, now + INITIAL_RETRY_BACKOFF
             )
-        elif tries.failures != job.failures:
-            pause = tries.backoff if now < tries.next_retry_at else min(MAX_RETRY_BACKOFF, 2 * tries.backoff)
-            tries.failures, tries.backoff, tries.next_retry_at = job.failures, pause, now + pause
-        return now >= tries.next_retry_at
+        elif state.failures != job.failures:
+            backoff = state.backoff if now < state.next_retry_at else min(MAX_RETRY_BACKOFF, 2 * state.backoff)
+            state.failures, state.backoff, state.next_retry_at = job.failures, backoff, now + backoff
+        return now >= state.next_retry_at
 
     # -- machines ---------------------------------------------------------------
 
     def evidence_against(self, machine: Machine) -> tuple[int, bool]:
-        """How many jobs speak against a machine, and whether that is enough to call it faulty."""
-        refs = self._job_index.failed_on.get(machine.name, set()) - machine.cleared_of
+        """How many jobs are evidence against a machine, and whether that is enough to call it faulty."""
+        failed_refs = self._job_index.failed_on.get(machine.name, set()) - machine.cleared_of
         count, proven = 0, False
-        for job in map(self._job_index.jobs.__getitem__, refs):
-            ends_well = job.done_count() > 0
-            if ends_well or len(job.failed_on) == 1:
+        for job in map(self._job_index.jobs.__getitem__, failed_refs):
+            has_done_tasks = job.done_count() > 0
+            if has_done_tasks or len(job.failed_on) == 1:
                 count += 1
-                proven = proven or ends_well
+                proven = proven or has_done_tasks
         return count, proven or count >= MIN_FAILED_JOBS
 
     def record_success(self, machine: Machine) -> None:
-        """A task ended well on the machine: what failed there before was not its fault."""
+        """Clear a machine of earlier failures after a task was done on it."""
         machine.cleared_of |= self._job_index.failed_on.get(machine.name, set())
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -18,7 +18,7 @@
     tries = len(world.starts) - first
     assert 2 <= tries <= 8, "about one after 4, 8, 16, 32 and 60 seconds"
     assert [r for r in caplog.messages if "faulty" in r] == []
-    assert len([r for r in caplog.messages if "never ended well" in r]) == 1
+    assert len([r for r in caplog.messages if "no task was ever done" in r]) == 1
     caplog.clear()
     world.run(100)
     assert [r for r in caplog.messages if "asking for" in r] == [], "no room is rented for it"
