--- a/kelpjunction/workers/registry.py
+++ b/kelpjunction/workers/registry.py
@@ -1,4 +1,4 @@
-"""The workers of the blocks that this node holds."""
+"""Registry of the workers in the blocks that this node holds: reports, commands, probes and leases."""
 
 import logging
 from collections import Counter
@@ -38,9 +38,9 @@
 
 log = logging.getLogger("workers")
 
-DIRECT_TIMEOUT = timedelta(seconds=2)
+COMMAND_TIMEOUT = timedelta(seconds=2)
 PROBE_TIMEOUT = timedelta(seconds=1)
-_PHASE_OF = {
+_PHASE_BY_STATE = {
     TaskState.FETCHING: Phase.FETCHING,
     TaskState.WAITING: Phase.WAITING,
     TaskState.RUNNING: Phase.RUNNING,
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """One worker as its block's holder knows it from its reports."""
+    """One worker, as the holder of its block knows it from its reports."""
 
     machine: str
     address: str
@@ -59,23 +59,26 @@
     session: int = 0
     token: int = 0
     last_report_at: timedelta = ZERO
-    lease_renewed_at: timedelta | None = None  # when its lease was last renewed, at the latest
-    reclaim_at: timedelta | None = None  # when the cloud takes the machine, as announced
-    uncertain_token: int = 0  # commands under tokens up to this one may still arrive
+    lease_renewed_at: timedelta | None = None  # latest time at which its lease may have been renewed
+    reclaim_at: timedelta | None = None  # announced time at which the cloud reclaims the machine
+    uncertain_token: int = 0  # commands with a token up to this one may still arrive
     unanswered_commands: Counter[tuple[TaskId, int]] = field(
         default_factory=Counter
-    )  # attempts of commands without an answer yet
+    )  # by attempt: commands sent and not answered yet
     tasks: dict[TaskId, list[TaskReport]] = field(default_factory=dict)
-    images: dict[str, float] = field(default_factory=dict)  # most recently used last
+    images: dict[str, float] = field(default_factory=dict)  # size in GB, 0 if unknown; the most recently used last
 
     def reported_tasks(self) -> Iterator[TaskReport]:
-        """What it has, by its newest message."""
+        """The attempts that its newest message lists."""
         for attempts in self.tasks.values():
             yield from attempts
 
 
 class WorkerRegistry:
-    """All workers, and every dealing with them."""
+    """Takes in reports, sends commands and probes, and settles placements.
+
+    `spawn` runs a call in the background and `wake` starts the holder's next round.
+    """
 
     def __init__(
         self,
@@ -101,35 +104,36 @@
         self._wake = wake
         self._changes = changes
         self.workers: dict[str, Worker] = {}
-        self.starts = self.stops = 0  # sent straight to workers since this process began
+        self.starts = self.stops = 0  # commands sent directly to workers since this process started
         self.zones_needing_new_token: set[str] = set()
-        # Blocks of which a worker has seen a higher token than the one here:
-        # they are another's, though no news of it has come in.  All their
-        # workers are sent away, so that they find that one in time.
+        # Blocks of which a worker has seen a higher token than ours, with our
+        # token at that time.  Another node holds them, although the mirror does
+        # not show it yet.  Reports from all their workers are refused, so that
+        # the workers find the new holder before their leases end.
         self._higher_token_seen: dict[str, int] = {}
-        self._probes_in_flight: set[str] = set()  # machines that are being asked how they stand
+        self._probes_in_flight: set[str] = set()  # machines with an unanswered probe
         self.on_seen: Callable[[Report], None] = lambda report: None
         self.images_of: Callable[[str], list[str]] = lambda machine: []
-        self.is_gone: Callable[[str], bool] = lambda machine: False  # whether the cloud confirmed its return
+        self.is_gone: Callable[[str], bool] = lambda machine: False  # whether the cloud confirmed the return
         self.on_exit: Callable[[Placement], None] = lambda placement: None
 
     def clear(self, zone: str) -> None:
-        """A block came or went: what was known of its workers before does not count."""
+        """Forget the workers of a block that this node has gained or lost: earlier knowledge of them is not valid."""
         for machine in [n for n, w in self.workers.items() if w.zone == zone]:
             self._drop(machine)
         self.zones_needing_new_token.discard(zone)
         self.decisions.clear(zone)
 
-    # -- check-ins ----------------------------------------------------------
+    # -- reports ------------------------------------------------------------
 
     def check_in(self, report: Report) -> tuple[int, bytes]:
-        """Answer a worker's report: status and body."""
+        """Take in a worker's report and return the HTTP status and body of the response."""
         token = self._blocks.own_token(report.zone)
         if token is not None and report.token > token and not self._is_overtaken(report.zone):
             self._higher_token_seen[report.zone] = token
             self._blocks.note_overtaken(report.zone)
-        entitlement = BlockAuthority(token, self._is_overtaken(report.zone), self._leadership.can_renew_leases())
-        refusal = refuse_block(entitlement)
+        authority = BlockAuthority(token, self._is_overtaken(report.zone), self._leadership.can_renew_leases())
+        refusal = refuse_block(authority)
         if refusal is not None:
             self.decisions.refused(report, 0, refusal)
             return 503, b"{}"
@@ -137,9 +141,9 @@
         number = (report.session, report.sequence)
         worker = self._worker(report)
         evidence = worker.reachability_tracker.on_report(number, now)
-        ask = self._apply_report(worker, report, evidence, now)
+        needs_probe = self._apply_report(worker, report, evidence, now)
         may_wait = worker.reachability_tracker.may_wait(number, now)
-        if (ask or worker.reachability_tracker.needs_probe(now)) and may_wait:
+        if (needs_probe or worker.reachability_tracker.needs_probe(now)) and may_wait:
             self._spawn(self.probe, worker.machine, worker.address)
         refusal = refuse_report(
             report, WorkerStatus(worker.session, worker.reachability_tracker.presumed_unreachable, may_wait)
@@ -148,33 +152,37 @@
             self.decisions.refused(report, worker.session, refusal)
             return 503, b"{}"
         worker.lease_renewed_at = now
-        told = build_response(
+        response = build_response(
             report.session,
             worker.reported_tasks(),
             self._job_index.placements_on(worker.machine),
             worker.unanswered_commands,
             token > worker.uncertain_token,
         )
-        for placement in told.starts:
+        for placement in response.starts:
             placement.advance(Phase.STARTED, now)
             placement.start_sent_at = now
             self.decisions.started(placement, token, Way.ANSWER, report.sequence)
-        return 200, wire.check_in_answer(token, told.commands)
+        return 200, wire.check_in_answer(token, response.commands)
 
     def _is_overtaken(self, zone: str) -> bool:
+        """Whether a worker of this block has seen a higher token than the one that this node holds."""
         token = self._blocks.own_token(zone)
         return token is not None and self._higher_token_seen.get(zone) == token
 
     @property
     def higher_token_seen(self) -> bool:
-        """Whether a worker proves that others have been granted a block of this node's: they hear the state service."""
+        """Whether a worker has shown that another node was granted one of this node's blocks.
+
+        That node must have been in contact with the state service.
+        """
         return any(map(self._is_overtaken, self._blocks.held_zones()))
 
     def _worker(self, report: Report) -> Worker:
-        """The worker that a message tells of, known from now on if it was not."""
+        """The worker that sent a message; it is added if it was not known."""
         worker = self.workers.get(report.machine)
         if worker is None:
-            # Commands of earlier holders may still be under way, under any
+            # Commands from earlier holders may still be in flight, with any
             # token below ours.
             worker = Worker(report.machine, report.address, report.zone, ReachabilityTracker(self._times.report))
             worker.uncertain_token = (self._blocks.own_token(report.zone) or 1) - 1
@@ -184,71 +192,79 @@
         return worker
 
     def _apply_report(self, worker: Worker, report: Report, evidence: Evidence, now: timedelta) -> bool:
-        """Take in a message for what it is worth; whether the worker should be asked about what it said."""
-        reading = assess_report(report, evidence, worker.session, self._job_index.placements_on(worker.machine))
-        if not reading.believed:
-            return reading.needs_probe
+        """Apply a message as far as its evidence allows; return whether the worker must be probed about it."""
+        assessment = assess_report(report, evidence, worker.session, self._job_index.placements_on(worker.machine))
+        if not assessment.believed:
+            return assessment.needs_probe
         new_session = report.session != worker.session
         if new_session:
             self.decisions.believed(report, worker.session, evidence, worker.uncertain_token)
         worker.session = report.session
-        ours = self._blocks.own_token(worker.zone) or 0
-        if new_session or worker.token < ours <= report.token:
-            # A new session's lease runs from its beginning, not from what was
-            # reckoned for the one before; and until the worker saw our token,
-            # an earlier holder may have renewed its lease up to this moment.
+        own_token = self._blocks.own_token(worker.zone) or 0
+        if new_session or worker.token < own_token <= report.token:
+            # The lease of a new session starts with the session, so the estimate
+            # for the previous session does not apply.  And until the worker saw
+            # our token, an earlier holder may have renewed its lease up to now.
             worker.lease_renewed_at = now
         worker.token = max(worker.token, report.token)
         worker.last_report_at, worker.address = now, report.address
         worker.reclaim_at = None if report.termination_notice is None else now + report.termination_notice
         worker.tasks = {}
-        for told in report.tasks:
-            worker.tasks.setdefault(told.task, []).append(told)
+        for task_report in report.tasks:
+            worker.tasks.setdefault(task_report.task, []).append(task_report)
         if worker.reachability_tracker.reachability is Reachability.REACHABLE:
             self.on_seen(report)
-        for placement, told in reading.listed:
-            self._on_listed(worker, placement, told, now)
-        for placement in reading.ended:
-            # The worker killed everything of that session when it ended.
+        for placement, task_report in assessment.listed:
+            self._on_listed(worker, placement, task_report, now)
+        for placement in assessment.ended:
+            # When a session ends, the worker kills all tasks of that session.
             self.settle(placement, ExitCause.MACHINE_LOST, Ground.SESSION_ENDED, now)
-        for placement in reading.from_later_session:
+        for placement in assessment.from_later_session:
             self._on_process_restart(worker, placement, now)
-        for placement in reading.missing:
+        for placement in assessment.missing:
             self._on_unlisted(worker, placement, now)
         if evidence is Evidence.PROOF:
-            for told in reading.unexpected:
-                self.decisions.check_possible(report, told)
+            for task_report in assessment.unexpected:
+                self.decisions.check_possible(report, task_report)
         if new_session:
             self._wake()
-        return reading.needs_probe
+        return assessment.needs_probe
 
     def _on_process_restart(self, worker: Worker, placement: Placement, now: timedelta) -> None:
-        """The worker proved a lower session than the placement's: its process was started again meanwhile.
+        """Settle a placement whose worker proved a lower session, unless an earlier command is still in flight.
 
-        Nothing of before is there any more; but it will come to that session
-        again, and must not find a start for it then that is still under way.
+        The lower session shows that the worker's process was restarted, so its
+        earlier tasks are gone.  But its session numbers will reach the
+        placement's session again, and a start command that is still in flight
+        would then be accepted.
         """
         if self._no_command_in_flight(worker):
             self.settle(placement, ExitCause.MACHINE_LOST, Ground.PROCESS_RESTARTED, now)
 
     def _no_command_in_flight(self, worker: Worker) -> bool:
-        """Whether no command of before can reach the worker any more; if it can for ever, a higher token ends that."""
+        """Whether no earlier command can take effect at the worker any more.
+
+        If the block's token is too low ever to rule that out, the block is
+        marked as needing a new one: a worker that has seen a higher token
+        rejects the earlier commands.
+        """
         if worker.uncertain_token >= (self._blocks.own_token(worker.zone) or 0):
             self.zones_needing_new_token.add(worker.zone)
         return worker.token > worker.uncertain_token
 
     def _on_numbering_restart(self, worker: Worker, report: Report) -> None:
-        """The worker's process was started again: all it had is gone, and starts sent to it before may still arrive."""
-        log.info("worker %s counts from the beginning again", worker.machine)
+        """The worker's process was restarted: its tasks are gone, and starts sent to it earlier may still arrive."""
+        log.info("worker %s restarted its session and sequence numbers", worker.machine)
         worker.token = report.token
         worker.uncertain_token = max(worker.uncertain_token, self._blocks.own_token(worker.zone) or 0)
 
     def _on_listed(self, worker: Worker, placement: Placement, task_report: TaskReport, now: timedelta) -> None:
+        """Advance or settle a placement by the state in which a message lists it."""
         placement.was_reported = True
         if task_report.state is TaskState.EXITED:
             self.settle(placement, task_report.cause, Ground.REPORTED_EXIT, now, task_report.saved)
             return
-        phase = _PHASE_OF[task_report.state]
+        phase = _PHASE_BY_STATE[task_report.state]
         if phase is not Phase.FETCHING:
             self._use_image(worker, placement)
         if phase is Phase.RUNNING and placement.phase not in (Phase.RUNNING, Phase.STOPPING):
@@ -256,6 +272,7 @@
         placement.advance(phase, now)
 
     def _use_image(self, worker: Worker, placement: Placement) -> None:
+        """Make the placement's image the most recently used one of the worker."""
         image = placement.spec.image
         if next(reversed(worker.images), None) != image or not worker.images[image]:
             worker.images.pop(image, None)
@@ -263,19 +280,19 @@
             self._changes.mark_changed(worker.machine)
 
     def _on_unlisted(self, worker: Worker, placement: Placement, now: timedelta) -> None:
-        """A check-in of this very session does not list the placement.
+        """Settle a placement that a message of its own session does not list, if no start can still be in flight.
 
-        That settles it only if no start command can still be on its way: one
-        sent straight to the worker without an answer may arrive minutes
+        A command that was sent directly and got no response may arrive minutes
         later, unless the worker has seen a higher token since.
         """
-        # Nor does an answer to a question settle it while the answer to a
-        # report, which says to start it, may still come: the two overtake each other.
-        gone = (placement.was_reported or not placement.is_active) and (
+        # A response to a probe does not settle the placement while the response
+        # to a report, which may contain the start, may still arrive: either of
+        # the two can overtake the other.
+        may_be_settled = (placement.was_reported or not placement.is_active) and (
             placement.start_sent_at is None or now - placement.start_sent_at >= REPORT_RESPONSE_TIMEOUT
         )
         if (
-            gone
+            may_be_settled
             and not worker.unanswered_commands[placement.task, placement.attempt]
             and self._no_command_in_flight(worker)
         ):
@@ -285,7 +302,7 @@
     def settle(
         self, placement: Placement, cause: ExitCause, ground: Ground, now: timedelta, saved: bool = False
     ) -> None:
-        """The placement is surely off its machine: the next round writes that down."""
+        """Mark a placement as known to be off its machine; the next round writes that to the record."""
         if placement.phase is Phase.SETTLED:
             return
         placement.cause, placement.saved = cause, saved
@@ -299,7 +316,10 @@
     # -- commands -----------------------------------------------------------
 
     def stop(self, placement: Placement, grace: timedelta, reason: str) -> None:
-        """Decide to stop a placement, or to let it save no longer; `send` or the next check-in tells the worker."""
+        """Decide to stop a placement, or to shorten its grace period for saving.
+
+        The command reaches the worker by `send` or by the response to its next report.
+        """
         if not placement.is_active and grace >= placement.grace:
             return
         placement.grace, placement.reason = grace, reason
@@ -307,15 +327,16 @@
         self.decisions.stopped(placement)
 
     def command_of(self, placement: Placement) -> Command:
+        """The start or stop command that a placement needs now."""
         if placement.is_active:
             return Command(Verb.START, placement.task, placement.attempt)
         return Command(Verb.STOP, placement.task, placement.attempt, placement.grace)
 
     def send(self, placements: list[Placement]) -> None:
-        """Tell workers at once to start or stop these."""
+        """Send the start or stop commands for these placements directly to their workers."""
         groups: dict[tuple[str, int], list[Placement]] = {}
         for placement in placements:
-            # A command holds for one session: in another, a start of before would be a second one.
+            # A command is valid for one session: in a later one, an old start would start the task a second time.
             groups.setdefault((placement.machine, placement.session), []).append(placement)
         for (machine, _), group in groups.items():
             worker = self.workers.get(machine)
@@ -334,7 +355,7 @@
             self._spawn(self._send, worker, token, group)
 
     def _send(self, worker: Worker, token: int, group: list[Placement]) -> None:
-        # Made only now: by its turn a start may be one that is to be stopped.
+        # Built here and not in `send`: a placement may have been stopped before this call got its turn.
         commands = [self.command_of(p) for p in group]
         answered = False
         try:
@@ -348,19 +369,20 @@
 
     def _post(self, worker: Worker, token: int, session: int, commands: list[Command]) -> bool:
         body = wire.commands_body(token, session, commands)
-        return self._request(worker.machine, worker.address, "POST", wire.COMMANDS_PATH, body, DIRECT_TIMEOUT)
+        return self._request(worker.machine, worker.address, "POST", wire.COMMANDS_PATH, body, COMMAND_TIMEOUT)
 
     def show_token(self, machine: str) -> None:
-        """Show a worker this node's token: whoever had its block before learns of it from its reports."""
+        """Show a worker this node's token; the block's previous holder then learns of it from the worker's reports."""
         worker = self.workers.get(machine)
         token = self._blocks.own_token(worker.zone) if worker else None
         if token is not None and worker.token < token:
             self._post(worker, token, worker.session, [])
 
     def probe(self, machine: str, address: str) -> bool | None:
-        """Ask a machine's worker how it stands, without waiting for its report.
+        """Request the status of a machine's worker without waiting for its next report.
 
-        Whether it answered; None if it is being asked already, which is no answer yet.
+        Returns whether the worker responded, or None if a probe of this machine
+        is in progress already, which does not count as a response.
         """
         if machine in self._probes_in_flight:
             return None
@@ -373,57 +395,57 @@
     def _request(
         self, machine: str, address: str, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> bool:
-        """One exchange with a machine's worker, whose answer is its report; whether it came."""
-        asked = self.workers[machine].reachability_tracker.newest if machine in self.workers else (0, 0)
+        """Send a request to a machine's worker and apply the report in the reply; return whether a usable one came."""
+        newest_when_sent = self.workers[machine].reachability_tracker.newest if machine in self.workers else (0, 0)
         try:
             reply = self._transport.request(address, method, path, body, timeout)
             if reply.status not in (200, 409):
-                raise NoResponse(f"status {reply.status}")
+                raise NoResponse(f"unexpected HTTP status {reply.status}")
         except NoResponse as error:
             if path == wire.COMMANDS_PATH:
-                log.info("commands to %s: no answer (%s)", machine, error)
+                log.info("commands to worker %s got no response (%s)", machine, error)
             if worker := self.workers.get(machine):
                 before = worker.reachability_tracker.reachability
                 worker.reachability_tracker.on_no_response()
-                self._note_reachability(worker, before)
+                self._on_reachability_change(worker, before)
             return False
         try:
             report = wire.report_from_fields(reply.fields)
         except MalformedMessage as error:
-            log.error("odd report from a worker: %s", error)
+            log.error("reply from a worker holds a malformed report: %s", error)
             return False
         if self.is_gone(report.machine):
-            return False  # returned while its answer was under way: it must not be known, nor used, again
+            return False  # the machine was returned while the reply was in flight and must not be added again
         if self._blocks.own_grant(report.zone) is not None:
-            self._take_reply(report, asked if report.machine == machine else (0, 0))
+            self._apply_reply(report, newest_when_sent if report.machine == machine else (0, 0))
         return True
 
-    def _take_reply(self, report: Report, newest_when_sent: MessageNumber) -> None:
-        """Take in a worker's answer; `newest_when_sent` is the newest that was known of it when it was asked."""
+    def _apply_reply(self, report: Report, newest_when_sent: MessageNumber) -> None:
+        """Apply the report in a reply; `newest_when_sent` is the newest message known when the request was sent."""
         worker, now = self._worker(report), self._clock.steady()
         before = worker.reachability_tracker.reachability
-        evidence, began_anew = worker.reachability_tracker.on_response(
+        evidence, numbering_restarted = worker.reachability_tracker.on_response(
             (report.session, report.sequence), newest_when_sent, now
         )
-        if began_anew:
+        if numbering_restarted:
             self._on_numbering_restart(worker, report)
-        self._note_reachability(worker, before)
+        self._on_reachability_change(worker, before)
         self._apply_report(worker, report, evidence, now)
 
-    def _note_reachability(self, worker: Worker, before: Reachability) -> None:
-        """Log a worker that is not reached any more, or is again, and have it judged anew."""
+    def _on_reachability_change(self, worker: Worker, before: Reachability) -> None:
+        """If the worker's reachability differs from `before`, log it and have the machine evaluated again."""
         reachability = worker.reachability_tracker.reachability
         if reachability is before:
             return
         if reachability is Reachability.UNREACHABLE:
-            log.info("worker %s is not reached: what is sent to it gets no answer", worker.machine)
+            log.info("worker %s is unreachable: requests to it get no response", worker.machine)
         elif before is Reachability.UNREACHABLE:
-            log.info("worker %s is reached again", worker.machine)
+            log.info("worker %s is reachable again", worker.machine)
         self._changes.mark_changed(worker.machine)
         self._wake()
 
     def unreachable(self) -> int:
-        """How many workers report here or did, and are not reached."""
+        """The number of workers that report or have reported to this node and are unreachable."""
         return sum(
             worker.reachability_tracker.reachability is Reachability.UNREACHABLE for worker in self.workers.values()
         )
@@ -431,10 +453,11 @@
     # -- leases -------------------------------------------------------------
 
     def lease_end(self, machine: str, zone: str) -> timedelta | None:
-        """When the worker's lease has certainly ended if nobody renews it from now on.
+        """The time by which the worker's lease has ended if no node renews it from now on.
 
-        Until a worker has shown our token, the holder before us may have been
-        renewing it for as long as it was allowed to without the store.
+        Until a worker has shown our token, the previous holder may have renewed
+        its lease for as long as it may without news of the state service.
+        None if this node does not hold the block.
         """
         grant = self._blocks.own_grant(zone)
         if grant is None:
@@ -442,16 +465,16 @@
         worker = self.workers.get(machine)
         renewed = worker.lease_renewed_at if worker else None
         if worker is None or worker.token < grant.token:
-            earlier = grant.since + self._leadership.renewal.grace_period
-            renewed = earlier if renewed is None else max(renewed, earlier)
+            previous_holder_until = grant.since + self._leadership.renewal.grace_period
+            renewed = previous_holder_until if renewed is None else max(renewed, previous_holder_until)
         if renewed is None:
             renewed = worker.last_report_at
         return renewed + self._times.lease * DRIFT + seconds(1)
 
     def settle_expired(self) -> None:
-        """Settle what stood on machines whose leases have certainly ended."""
+        """Settle the placements on machines whose leases are known to have ended."""
         if not self._leadership.mirror_is_fresh():
-            return  # a node that stood still heard nobody, and others renewed the leases meanwhile
+            return  # after a pause this node has missed reports, and other nodes may have renewed the leases
         now = self._clock.steady()
         for machine, load in self._job_index.loads.items():
             worker = self.workers.get(machine)
@@ -460,14 +483,14 @@
                 and not worker.reachability_tracker.presumed_unreachable
                 and now - worker.last_report_at < self._times.lease
             ):
-                continue  # heard of within a lease: whatever is reckoned, it has not ended
-            end = self.lease_end(machine, next(iter(load.placements.values())).zone)
-            if end is not None and now > end:
+                continue  # it reported less than a lease ago, so its lease goes on, whatever the estimate
+            lease_end = self.lease_end(machine, next(iter(load.placements.values())).zone)
+            if lease_end is not None and now > lease_end:
                 for placement in load.placements.values():
                     self.settle(placement, ExitCause.MACHINE_LOST, Ground.LEASE_ENDED, now)
 
     def settle_machine(self, machine: str) -> None:
-        """The cloud confirmed that the machine is gone, and everything on it."""
+        """Settle all placements on a machine that the cloud confirmed as gone, and forget its worker."""
         now = self._clock.steady()
         for placement in list(self._job_index.placements_on(machine).values()):
             if self._blocks.own_grant(placement.zone) is not None:
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -197,7 +197,7 @@
     holder = holder_of(world, worker)
     assert world.run(20, lambda: holder.inventory.machines[worker.name].state is MachineState.RETURNING)
     assert holder.worker_registry.unreachable() == 1
-    assert f"worker {worker.name} is not reached: what is sent to it gets no answer" in caplog.messages
+    assert f"worker {worker.name} is unreachable: requests to it get no response" in caplog.messages
 
 
 # Each of these stands for a guard that was taken out once, and that nothing else noticed
