--- a/kelpjunction/workers/answers.py
+++ b/kelpjunction/workers/answers.py
@@ -1,8 +1,9 @@
-"""What a worker's message is worth, and what is said in answer to a report: pure decisions.
+"""Pure functions that decide what a worker's message changes and how a report is answered.
 
-Nothing here sends, writes or remembers; `WorkerRegistry` carries out what is decided.  A worker in a later session has
-killed all that it had and accepts in that session whatever the answer to its report says, so an answer is put
-together for the session of the report that it answers, never for the one that the holder believes.
+Nothing here sends messages or keeps state; `WorkerRegistry` carries out the decisions.  A worker that begins a new
+session has killed all its tasks, and in that session it executes every command in the response to its report.  A
+response is therefore built for the session of the report that it answers, never for the session that the holder
+believes.
 Source: PROTOCOL, "Workers -> controller nodes", "Tokens" and "Leases".
 """
 
@@ -17,7 +18,7 @@
 
 
 class Refusal(Enum):
-    """Why a report gets no 200: the value is its label in the metrics."""
+    """Why a report gets no 200; the value is a label in the metrics."""
 
     NOT_HELD = "block_not_held"
     HIGHER_TOKEN_SEEN = "higher_token_seen"
@@ -30,99 +31,102 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockAuthority:
-    """What lets this node speak for a block."""
+    """What decides whether this node may answer the workers of a block."""
 
-    token: int | None  # of its grant, if it holds the block
+    token: int | None  # of its grant; None if it does not hold the block
     higher_token_seen: bool  # a worker of the block has seen a higher token
-    can_renew_leases: bool  # its news of the state service are recent enough to renew leases
+    can_renew_leases: bool  # its mirror is recent enough to renew leases
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerStatus:
-    """What is known of a worker when its report has been taken in."""
+    """What is known of a worker after its report has been applied."""
 
-    session: int  # the one believed: proved, or the first heard of
-    presumed_unreachable: bool  # nothing that is sent to it is answered
-    may_wait: bool  # whether the report's sender may still wait for the answer
+    session: int  # the believed one: proved by the worker, or the first that it reported
+    presumed_unreachable: bool  # requests to it get no response
+    may_wait: bool  # whether the report's sender may still wait for the response
 
 
-def refuse_block(entitlement: BlockAuthority) -> Refusal | None:
-    """Why this node answers no report of a block, if it must not."""
-    if entitlement.token is None:
+def refuse_block(authority: BlockAuthority) -> Refusal | None:
+    """Why this node must not answer reports from a block, or None if it may."""
+    if authority.token is None:
         return Refusal.NOT_HELD
-    if entitlement.higher_token_seen:
+    if authority.higher_token_seen:
         return Refusal.HIGHER_TOKEN_SEEN
-    return None if entitlement.can_renew_leases else Refusal.STORE_NEWS_STALE
+    return None if authority.can_renew_leases else Refusal.STORE_NEWS_STALE
 
 
-def refuse_report(report: Report, known: WorkerStatus) -> Refusal | None:
-    """Why this report gets no 200, if it must not: each 200 may renew its worker's lease."""
-    if known.presumed_unreachable:
-        return Refusal.UNREACHED  # it can't be told to stop anything
-    if not known.may_wait:
-        return Refusal.RESPONSE_TIMED_OUT  # a copy: its worker may find a node that reaches it
-    if report.session < known.session:
+def refuse_report(report: Report, status: WorkerStatus) -> Refusal | None:
+    """Why this report must not get a 200, which may renew the worker's lease, or None if it may."""
+    if status.presumed_unreachable:
+        return Refusal.UNREACHED  # no stop command would reach it
+    if not status.may_wait:
+        return Refusal.RESPONSE_TIMED_OUT  # a late copy: its worker may find a node that can reach it
+    if report.session < status.session:
         return Refusal.EARLIER_SESSION
-    if report.session > known.session:
-        # A worker that has begun this session would carry out in it what was written for the one before.
-        # It is being asked, and is answered once it has proved the session.
+    if report.session > status.session:
+        # A worker in this session would execute commands that were meant for the previous one.
+        # It is being probed, and its reports are answered once it has proved the session.
         return Refusal.UNPROVED_SESSION
     return None
 
 
 @dataclass(slots=True)
 class ReportAssessment:
-    """What a message changes of what is known."""
+    """What a message changes in what is known of its worker."""
 
-    believed: bool  # whether it counts at all
-    needs_probe: bool = False  # whether the worker must be asked about what it says
+    believed: bool  # False: the message is ignored
+    needs_probe: bool = False  # whether the worker must be probed about the message
     listed: list[tuple[Placement, TaskReport]] = field(default_factory=list)
-    unexpected: list[TaskReport] = field(default_factory=list)  # not exited, and none of what stands there
-    ended: list[Placement] = field(default_factory=list)  # with the session they were written for
-    from_later_session: list[Placement] = field(default_factory=list)  # written for a session above the proved one
-    missing: list[Placement] = field(default_factory=list)  # of this very session, and not listed
+    unexpected: list[TaskReport] = field(default_factory=list)  # not exited, and no placement names them
+    ended: list[Placement] = field(default_factory=list)  # of an earlier session, which has ended
+    from_later_session: list[Placement] = field(default_factory=list)  # of a session above the proved one
+    missing: list[Placement] = field(default_factory=list)  # of the proved session, and not listed
 
 
 def assess_report(
     report: Report, evidence: Evidence, session: int, placements: Mapping[TaskId, Placement]
 ) -> ReportAssessment:
-    """Take a message for its worth; `session` is the one believed so far, `placements` what stands on the machine.
+    """Assess a message; `session` is the one believed so far, `placements` are those on the machine.
 
-    Only an answer settles what it lacks: a copy from before the worker's process was started again may name a
-    higher session, or the very next number.  Nor does a claim end what it lists, since the attempt may have
-    been started again in the life since: its worker is being asked, and the answer lists the same exit.
+    Only a response to a request settles placements that it does not list: a copy from before the worker's process
+    was restarted may have a higher session, or exactly the next number.  A claim does not settle an attempt that it
+    lists as exited either, since the attempt may have been started again after the process restarted.  The worker is
+    probed instead, and its response lists the same exit.
     """
     if evidence is Evidence.STALE:
         return ReportAssessment(believed=False)
     if evidence is not Evidence.PROOF and session and report.session != session:
         return ReportAssessment(believed=False, needs_probe=True)
-    reading = ReportAssessment(believed=True)
+    assessment = ReportAssessment(believed=True)
     listed: set[Placement] = set()
-    for told in report.tasks:
-        exited = told.state is TaskState.EXITED
-        placement = placements.get(told.task)
-        if is_written_for(placement, report.session, told.attempt):
+    for task_report in report.tasks:
+        exited = task_report.state is TaskState.EXITED
+        placement = placements.get(task_report.task)
+        if is_written_for(placement, report.session, task_report.attempt):
             listed.add(placement)
             if exited and evidence is Evidence.CLAIM:
-                reading.needs_probe = True
+                assessment.needs_probe = True
             else:
-                reading.listed.append((placement, told))
+                assessment.listed.append((placement, task_report))
         elif not exited:
-            reading.unexpected.append(told)
+            assessment.unexpected.append(task_report)
     unlisted = [placement for placement in placements.values() if placement not in listed]
     if evidence is not Evidence.PROOF:
-        # What was there may have ended, and what was written for another session can neither start nor settle
-        # before the worker has answered: who was asked once may have had its answer overtaken.
-        reading.needs_probe |= any(p.was_reported or not p.is_active or p.session != report.session for p in unlisted)
-        return reading
+        # A task that was reported earlier may have ended, and a placement of another session can neither start nor
+        # settle before the worker has responded.  An earlier probe is not enough: its response may have been overtaken.
+        assessment.needs_probe |= any(
+            p.was_reported or not p.is_active or p.session != report.session for p in unlisted
+        )
+        return assessment
     for placement in unlisted:
         if placement.session < report.session:
-            reading.ended.append(placement)
+            assessment.ended.append(placement)
         elif placement.session > report.session:
-            reading.from_later_session.append(placement)
+            assessment.from_later_session.append(placement)
         else:
-            reading.missing.append(placement)
-    return reading
+            assessment.missing.append(placement)
+    return assessment
 
 
 def is_written_for(placement: Placement | None, session: int, attempt: int) -> bool:
@@ -132,7 +136,7 @@
 
 @dataclass(slots=True)
 class ReportResponse:
-    """What a worker is told in answer to its report, in order, and the placements that it is told to start."""
+    """The commands in the response to a report, in order, and the placements that they start."""
 
     commands: list[Command] = field(default_factory=list)
     starts: list[Placement] = field(default_factory=list)
@@ -145,29 +149,31 @@
     unanswered_commands: Counter[tuple[TaskId, int]],
     no_start_in_flight: bool,
 ) -> ReportResponse:
-    """What a worker in this session must be told, from what it has and what it should have.
+    """Build the response to a worker in this session, from the tasks that it has and those that it should have.
 
-    `unanswered_commands` counts commands without an answer yet, by attempt; `no_start_in_flight` says that no command
-    of an earlier holder or of a lost exchange can reach it any more under the token of this answer.
+    `unanswered_commands` counts, by attempt, the commands that have no response yet.  `no_start_in_flight` says that
+    no command of an earlier holder, or of a request that got no response, can take effect once the worker has seen the
+    token of this response.
     """
-    found = ReportResponse()
+    response = ReportResponse()
     reported: set[tuple[TaskId, int]] = set()
-    for told in tasks:
-        reported.add((told.task, told.attempt))
-        placement = placements.get(told.task)
-        ours = is_written_for(placement, session, told.attempt)
-        if told.state is TaskState.EXITED:
-            # Forget only once the result is stored, and only when no earlier start command can arrive and
-            # start it again: one that was sent a moment ago and held up is no doubt yet.
-            if not ours and no_start_in_flight and not unanswered_commands[told.task, told.attempt]:
-                found.commands.append(Command(Verb.FORGET, told.task, told.attempt))
-        elif not ours:
-            found.commands.append(Command(Verb.STOP, told.task, told.attempt))
+    for task_report in tasks:
+        reported.add((task_report.task, task_report.attempt))
+        placement = placements.get(task_report.task)
+        is_current = is_written_for(placement, session, task_report.attempt)
+        if task_report.state is TaskState.EXITED:
+            # The worker may forget an exit only once the result is stored and no earlier start command can arrive and
+            # start the attempt again.  `no_start_in_flight` does not cover a start that was sent a moment ago and is
+            # delayed, so unanswered commands are checked too.
+            if not is_current and no_start_in_flight and not unanswered_commands[task_report.task, task_report.attempt]:
+                response.commands.append(Command(Verb.FORGET, task_report.task, task_report.attempt))
+        elif not is_current:
+            response.commands.append(Command(Verb.STOP, task_report.task, task_report.attempt))
         elif not placement.is_active:
-            found.commands.append(Command(Verb.STOP, told.task, told.attempt, placement.grace))
+            response.commands.append(Command(Verb.STOP, task_report.task, task_report.attempt, placement.grace))
     for placement in placements.values():
-        absent = (placement.task, placement.attempt) not in reported
-        if absent and placement.is_active and placement.session == session and not placement.was_reported:
-            found.starts.append(placement)
-            found.commands.append(Command(Verb.START, placement.task, placement.attempt))
-    return found
+        unreported = (placement.task, placement.attempt) not in reported
+        if unreported and placement.is_active and placement.session == session and not placement.was_reported:
+            response.starts.append(placement)
+            response.commands.append(Command(Verb.START, placement.task, placement.attempt))
+    return response
--- a/kelpjunction/workers/decisions.py
+++ b/kelpjunction/workers/decisions.py
@@ -1,4 +1,4 @@
-"""What a holder has decided of its workers and placements: counted for the metrics, kept for the recorder."""
+"""Counts a holder's decisions on workers and placements for the metrics and passes them to the recorder."""
 
 from collections import Counter, OrderedDict
 
@@ -21,74 +21,74 @@
 )
 from kelpjunction.workers.reachability import Evidence, MessageNumber
 
-MAX_SETTLED_ATTEMPTS = 1024  # attempts that were settled here
+MAX_SETTLED_ATTEMPTS = 1024  # the newest ones are kept
 
 
 class DecisionLog:
-    """Counts and keeps what `WorkerRegistry` decides, and notices what can't be."""
+    """Counts and records the decisions of `WorkerRegistry` and detects contradictions between them."""
 
     def __init__(self, recorder: Recorder, job_index: JobIndex) -> None:
         self._recorder = recorder
         self._job_index = job_index
         self.causes: Counter[ExitCause] = Counter()  # of settled placements
         self.grounds: Counter[Ground] = Counter()
-        self.ways: Counter[Way] = Counter()  # in which starts were said
+        self.ways: Counter[Way] = Counter()  # in which starts were sent
         self.refusals: Counter[Refusal] = Counter()  # of reports that got no 200
-        # Attempts that were settled here lately, and their blocks: none of them can be on its machine again.
+        # Attempts that this node settled recently, with their zones: none of them can be on its machine again.
         self._settled_attempts: OrderedDict[tuple[TaskId, int, str], str] = OrderedDict()
 
     def clear(self, zone: str) -> None:
-        """The block came or went: what was settled of it and not written may be started again."""
-        for attempt in [a for a, its_zone in self._settled_attempts.items() if its_zone == zone]:
+        """Forget a block that was gained or lost: attempts settled and not yet written may be started again."""
+        for attempt in [a for a, settled_zone in self._settled_attempts.items() if settled_zone == zone]:
             del self._settled_attempts[attempt]
 
     def refused(self, report: Report, believed: int, refusal: Refusal) -> None:
-        """A report got no 200; `believed` is its worker's session as known, 0 if it is not."""
+        """Record that a report got no 200; `believed` is the session believed of its worker, 0 if none."""
         self.refusals[refusal] += 1
         self._recorder.record(ReportRefused(report.machine, report.session, report.sequence, believed, refusal))
 
     def believed(self, report: Report, before: int, evidence: Evidence, uncertain_token: int) -> None:
-        """A worker's session is another than was believed `before` (0: it was not known)."""
-        event = SessionChanged if before else SessionBelieved
+        """Record that a worker's session is not the one believed `before` (0 if the worker was not known)."""
+        event_type = SessionChanged if before else SessionBelieved
         self._recorder.record(
-            event(report.machine, before, report.session, report.sequence, evidence, report.token, uncertain_token)
+            event_type(report.machine, before, report.session, report.sequence, evidence, report.token, uncertain_token)
         )
 
     def started(self, placement: Placement, token: int, way: Way, sequence: int) -> None:
-        """A start was said under a token; `sequence` is as `StartSaid` has it."""
+        """Record a start that was sent under a token; for `sequence` see `StartSaid`."""
         self.ways[way] += 1
         attempt = placement.task, placement.attempt, placement.machine, placement.session
         self._recorder.record(StartSaid(*attempt, token, self._job_index.record_version(placement.task), way, sequence))
 
     def stopped(self, placement: Placement) -> None:
-        """A placement is to be stopped, for its `reason` and with its `grace`."""
+        """Record the decision to stop a placement, with its `reason` and `grace`."""
         attempt = placement.task, placement.attempt, placement.machine
         self._recorder.record(StopDecided(*attempt, placement.grace.total_seconds(), placement.reason))
 
     def settled(self, placement: Placement, ground: Ground, newest: MessageNumber) -> None:
-        """A placement is off its machine; `newest` is the newest message known of its worker."""
+        """Record that a placement is off its machine; `newest` is the newest message known of its worker."""
         self.causes[placement.cause] += 1
         self.grounds[ground] += 1
         self._settled_attempts[placement.task, placement.attempt, placement.machine] = placement.zone
         if len(self._settled_attempts) > MAX_SETTLED_ATTEMPTS:
             self._settled_attempts.popitem(last=False)
-        event = Settled if placement.cause in (ExitCause.DONE, ExitCause.STOPPED) else SettledAbnormally
+        event_type = Settled if placement.cause in (ExitCause.DONE, ExitCause.STOPPED) else SettledAbnormally
         attempt = placement.task, placement.attempt, placement.machine, placement.session
-        self._recorder.record(event(*attempt, placement.cause, ground, *newest))
+        self._recorder.record(event_type(*attempt, placement.cause, ground, *newest))
 
     def check_possible(self, report: Report, task_report: TaskReport) -> None:
-        """Write out what led to it if a worker proves that it has what is surely off it, or what is elsewhere too."""
-        elsewhere = self._job_index.placement(task_report.task)
+        """Report a contradiction if a worker proves that it has an attempt that was settled or replaced by a later one.
+
+        The recorder then writes out the decisions that led to it.
+        """
+        current = self._job_index.placement(task_report.task)
         if (task_report.task, task_report.attempt, report.machine) in self._settled_attempts:
             finding = "it was settled before"
         elif (
-            elsewhere is not None
-            and elsewhere.attempt > task_report.attempt
-            and elsewhere.was_reported
-            and elsewhere.is_active
+            current is not None and current.attempt > task_report.attempt and current.was_reported and current.is_active
         ):
-            finding = f"attempt {elsewhere.attempt} is on {elsewhere.machine}"
+            finding = f"attempt {current.attempt} is on {current.machine}"
         else:
-            return  # settled by another, or a later attempt: of a record that this node has not read yet
+            return  # another node settled it, or started a later attempt, in a record that this node has not read yet
         event = Impossible(task_report.task, task_report.attempt, report.machine, report.session, finding)
         self._recorder.contradiction(event, concerns(task_report.task, report.machine))
--- a/kelpjunction/workers/events.py
+++ b/kelpjunction/workers/events.py
@@ -1,4 +1,4 @@
-"""What the holder of a block decides of its workers and placements, as the recorder keeps it."""
+"""Recorder events for the decisions of a block's holder on its workers and placements."""
 
 import logging
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 
 class Way(Enum):
-    """How a command is said to a worker."""
+    """How a start reaches a worker: in a command sent directly, or in the response to a report."""
 
     DIRECT = "direct"
     ANSWER = "answer"
 
 
 class Ground(Enum):
-    """Why a placement is surely off its machine."""
+    """What shows that a placement is off its machine."""
 
     REPORTED_EXIT = "reported_exit"
     SESSION_ENDED = "session_ended"
@@ -31,9 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionBelieved(Event):
-    """A worker's session as the holder believes it; `before` is 0 if none was, `sequence` of the message that told it.
+    """The holder believes a session of a worker; `before` is the one believed until then, or 0.
 
-    `uncertain_token` is the highest under which a command may still be on its way to the worker.
+    `sequence` is that of the message that named the session.  `uncertain_token` is the highest token under which a
+    command may still be in flight to the worker.
     """
 
     machine: str
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionChanged(SessionBelieved):
-    """The same of a worker that was known: all that it had is gone, so the log shows it."""
+    """The session of a known worker changed.  All its tasks are gone, so the event is logged."""
 
     level: ClassVar[int] = logging.INFO
 
@@ -65,9 +66,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSaid(Event):
-    """A start was said to a worker; `version` is of the record that placed the task, `sequence` of the report answered.
+    """A start was sent to a worker; `version` is that of the record that placed the task.
 
-    Of a start that is sent directly, `sequence` is the newest that was known of the worker.
+    `sequence` is that of the report answered or, if the start was sent directly, the newest one known of the worker.
     """
 
     task: TaskId
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopDecided(Event):
-    """A placement is to be stopped."""
+    """The holder decided to stop a placement."""
 
     task: TaskId
     attempt: int
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled(Event):
-    """A placement is surely off its machine; `known_session` and `sequence` are the newest known of the worker."""
+    """A placement is known to be off its machine; `known_session` and `sequence` are the newest known of the worker."""
 
     task: TaskId
     attempt: int
@@ -107,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettledAbnormally(Settled):
-    """The same of a task that did not end well: the log shows it."""
+    """A placement settled for a cause other than done or stopped; the event is logged."""
 
     level: ClassVar[int] = logging.INFO
 
 
 @dataclass(frozen=True, slots=True)
 class Impossible(Event):
-    """A worker proved that it has an attempt which can't be there."""
+    """A worker proved that it has an attempt that cannot be there."""
 
     level: ClassVar[int] = logging.ERROR
     task: TaskId
@@ -125,10 +126,10 @@
 
 
 def concerns(task: TaskId, machine: str):
-    """Whether an event is of a task, or of a machine and no task."""
+    """Return a filter for events of this task, or of no task and either this machine or no machine."""
 
     def related(event: Event) -> bool:
-        of_task = getattr(event, "task", None)
-        return of_task == task or (of_task is None and getattr(event, "machine", machine) == machine)
+        event_task = getattr(event, "task", None)
+        return event_task == task or (event_task is None and getattr(event, "machine", machine) == machine)
 
     return related
--- a/kelpjunction/workers/reachability.py
+++ b/kelpjunction/workers/reachability.py
@@ -1,10 +1,11 @@
-"""What is known of a worker, with its evidence and its age: one place decides it, pure.
-
-A report proves that its worker lived when it was sent, not that it lives now, nor that anything
-reaches it: reports come late, and come again as copies, and a machine may lose all that is sent to
-it while its reports arrive.  What proves both is a round trip: an answer to a request of ours.  That
-it is reached still is also shown by a report whose number follows on the one we answered: a worker
-without an answer goes to another node, so the next number is spent there.
+"""Decides what a worker's messages prove and whether requests reach the worker.  Performs no I/O.
+
+A report proves that its worker was alive when it sent the report.  It does not prove that the worker
+is alive now, or that requests reach it: reports can arrive late or as copies, and a machine may lose
+all inbound traffic while its reports still arrive.  A round trip, which is a response to a request
+of ours, proves both.  A report whose number directly follows one that we answered also shows that the
+worker is still reachable: a worker that gets no response sends its next report, with the next number,
+to another node.
 """
 
 from collections import deque
@@ -14,124 +15,128 @@
 
 from kelpjunction.clock import seconds
 
-REPORT_RESPONSE_TIMEOUT = seconds(4.5)  # a worker drops what answers a report after 4 s
-UNREACHABLE_AFTER = 2  # requests in turn without an answer, and no other proof between them
-PROOFS_TO_RECOVER = 2  # that an unreachable worker must give, a report's time apart, before it counts again
+REPORT_RESPONSE_TIMEOUT = seconds(4.5)  # a worker drops a response to its report after 4 s
+UNREACHABLE_AFTER = 2  # consecutive requests without a response, and no other proof between them
+PROOFS_TO_RECOVER = 2  # from an unreachable worker, at least a report interval apart, to count as reachable
 
-MessageNumber = tuple[int, int]  # session and sequence: the larger one is the newer message
+MessageNumber = tuple[int, int]  # session and sequence number; of two messages, the larger is the newer
 
 
 class Reachability(Enum):
     """UNKNOWN -> REACHABLE <-> UNREACHABLE; `ReachabilityTracker._set_reachability` makes every change."""
 
-    UNKNOWN = "unknown"  # heard of, by what may be a copy; nothing has reached it from here yet
+    UNKNOWN = "unknown"  # only messages that may be copies have come; no request has reached it yet
     REACHABLE = "reachable"
-    UNREACHABLE = "unreachable"  # whatever its reports say, nothing sent to it is answered
+    UNREACHABLE = "unreachable"  # requests to it get no response, whether or not reports arrive
 
 
 class Evidence(Enum):
-    """What a message is worth."""
+    """What a message proves."""
 
-    STALE = "stale"  # not newer than what is known: nothing of it counts
-    CLAIM = "claim"  # newer, but perhaps a copy from the past, also of the worker's life before its process restarted
-    SUCCESSOR = "successor"  # the number behind one that was answered: what it lacks may be there all the same
-    PROOF = "proof"  # how things stand now
+    STALE = "stale"  # not newer than the newest message known: ignored
+    CLAIM = "claim"  # newer, but may be an old copy, even from before the worker's process restarted
+    SUCCESSOR = "successor"  # directly follows an answered message; a task that it does not list may still be there
+    PROOF = "proof"  # shows the worker's present state
 
 
 @dataclass(slots=True)
 class ReachabilityTracker:
-    """A worker's numbers, and whether it is reached."""
+    """Tracks a worker's message numbers and whether requests reach the worker."""
 
     report_interval: timedelta  # how often workers report
     reachability: Reachability = Reachability.UNKNOWN
     newest: MessageNumber = (0, 0)
-    # The messages of the last moments, and one before: by number, when they came.
+    # Messages received within REPORT_RESPONSE_TIMEOUT, and the last one before: number and time received.
     recent_messages: deque[tuple[MessageNumber, timedelta]] = field(default_factory=deque)
-    proved_at: timedelta | None = None  # the last round trip
-    failures: int = 0  # requests in turn without an answer
-    proofs: int = 0  # since it was unreachable
-    numbering_restarted: bool = False  # its numbers began anew: copies of its life before may be larger
+    proved_at: timedelta | None = None  # time of the last proof that it is reachable
+    failures: int = 0  # consecutive requests without a response
+    proofs: int = 0  # since it became unreachable
+    numbering_restarted: bool = False  # copies from before the restart may have larger numbers
 
     def on_report(self, number: MessageNumber, now: timedelta) -> Evidence:
-        """A report came.
+        """Register a report and return what it proves.
 
-        Of a worker that began anew none counts: what it answers when it is asked does.
+        After the worker's numbering restarted, no report counts, only responses to requests.
         """
         if self.numbering_restarted or number <= self.newest:
             return Evidence.STALE
-        # Directly behind a message that we answered, or that answered us.
-        follows = self.newest == (number[0], number[1] - 1) and self.reachability is Reachability.REACHABLE
-        self._note(number, now)
-        if not follows:
+        # It directly follows a message that we answered, or a response to a request of ours.
+        is_successor = self.newest == (number[0], number[1] - 1) and self.reachability is Reachability.REACHABLE
+        self._record_message(number, now)
+        if not is_successor:
             return Evidence.CLAIM
-        self._prove(now)
+        self._record_proof(now)
         return Evidence.SUCCESSOR
 
     def on_response(
         self, number: MessageNumber, newest_when_sent: MessageNumber, now: timedelta
     ) -> tuple[Evidence, bool]:
-        """An answer to a request of ours came; `newest_when_sent` is what was the newest when that was sent.
+        """Register a response to a request; `newest_when_sent` is the newest message known when that was sent.
 
-        Returns its worth, and whether the worker began anew: what it says to a
-        request is newer than all we knew before, so if its number is not, it counts from the beginning.
+        Returns what the response proves, and whether the worker's numbering restarted.
+        A response is newer than all messages known when the request was sent, so a
+        lower number shows a restart.
         """
-        began_anew = number < newest_when_sent
-        if not began_anew and number <= self.newest:
-            # Others overtook it; that it came proves as much all the same.
-            self._prove(now)
+        restarted = number < newest_when_sent
+        if not restarted and number <= self.newest:
+            # Later messages overtook it, but its arrival still proves that the worker is reachable.
+            self._record_proof(now)
             return Evidence.STALE, False
-        self.numbering_restarted = self.numbering_restarted or began_anew
-        if began_anew:
+        self.numbering_restarted = self.numbering_restarted or restarted
+        if restarted:
             self.recent_messages.clear()
-        self._note(number, now)
-        self._prove(now)
-        return Evidence.PROOF, began_anew
+        self._record_message(number, now)
+        self._record_proof(now)
+        return Evidence.PROOF, restarted
 
     def on_no_response(self) -> None:
-        """A request of ours got no answer."""
+        """Register a request that got no response."""
         self.failures += 1
         self.proofs = 0
         if self.failures >= UNREACHABLE_AFTER:
             self._set_reachability(Reachability.UNREACHABLE)
 
-    def _prove(self, now: timedelta) -> None:
+    def _record_proof(self, now: timedelta) -> None:
         if self.reachability is Reachability.UNREACHABLE:
             if self.proofs and now - self.proved_at < self.report_interval:
-                return  # too soon behind the first to say more than that did
+                return  # too soon after the first to prove anything more
             self.proofs += 1
         self.proved_at, self.failures = now, 0
         if self.reachability is not Reachability.UNREACHABLE or self.proofs >= PROOFS_TO_RECOVER:
             self._set_reachability(Reachability.REACHABLE)
 
     def _set_reachability(self, reachability: Reachability) -> None:
-        """The one place where `reachability` changes."""
+        """Change `reachability`; nothing else does."""
         if reachability is not self.reachability:
             self.reachability, self.proofs = reachability, 0
 
     def needs_probe(self, now: timedelta) -> bool:
-        """Whether nothing shows at this moment that it is reached."""
+        """Whether nothing received at `now` proves that the worker is reachable."""
         return self.proved_at != now
 
     @property
     def presumed_unreachable(self) -> bool:
-        """Whether nothing reaches it: who has answered once is not given up again at once."""
+        """Whether the worker is unreachable and has not responded since.
+
+        One response ends this, although `reachability` changes only after PROOFS_TO_RECOVER.
+        """
         return self.reachability is Reachability.UNREACHABLE and not self.proofs
 
     def may_wait(self, number: MessageNumber, now: timedelta) -> bool:
-        """Whether the sender of this report may still wait for its answer, which would then renew its lease.
+        """Whether the sender of this report may still wait for the response, which would then renew its lease.
 
-        Not if a later message was known before that: it has given this one up.
+        It does not if a later message came REPORT_RESPONSE_TIMEOUT ago or earlier: it has given this report up.
         """
-        self._drop_old(now)
-        then, at = self.recent_messages[0] if self.recent_messages else (number, now)
-        return number >= then or now - at < REPORT_RESPONSE_TIMEOUT
+        self._drop_old_messages(now)
+        oldest, received_at = self.recent_messages[0] if self.recent_messages else (number, now)
+        return number >= oldest or now - received_at < REPORT_RESPONSE_TIMEOUT
 
-    def _note(self, number: MessageNumber, now: timedelta) -> None:
+    def _record_message(self, number: MessageNumber, now: timedelta) -> None:
         self.newest = number
         self.recent_messages.append((number, now))
-        self._drop_old(now)
+        self._drop_old_messages(now)
 
-    def _drop_old(self, now: timedelta) -> None:
-        """Keep the latest message that is older than anybody waits, and those behind it."""
+    def _drop_old_messages(self, now: timedelta) -> None:
+        """Keep the latest message that is older than REPORT_RESPONSE_TIMEOUT, and all later ones."""
         while len(self.recent_messages) > 1 and now - self.recent_messages[1][1] >= REPORT_RESPONSE_TIMEOUT:
             self.recent_messages.popleft()
