--- a/kelpjunction/placement/__init__.py
+++ b/kelpjunction/placement/__init__.py
@@ -1,9 +1,9 @@
-"""What runs where: greedy choice, then swaps; and whom to stop for whom.
+"""Placement of tasks on machines: a greedy choice, improved by swaps, and the choice of tasks to preempt.
 
-Pure: it takes views of machines and returns decisions, and writes only to the
-views it was given, which are its caller's scratch copies.  `views` has the
-machines, `free_capacity` their index, `tasks` and `gangs` choose, `preemption` makes
-room, `prices` says what it costs.
+The functions are pure except for the views that they are given, which are the
+caller's scratch copies and are updated in place.  `views` describes the
+machines, `free_capacity` indexes them, `tasks` and `gangs` choose machines,
+`preemption` chooses tasks to stop, and `prices` computes the price per task.
 """
 
 from kelpjunction.placement.free_capacity import FreeCapacityIndex, MachineKind, MachineSelection, selection_of
--- a/kelpjunction/placement/free_capacity.py
+++ b/kelpjunction/placement/free_capacity.py
@@ -1,9 +1,10 @@
-"""An index of free room, so that choosing machines costs what differs between them and not how many there are.
+"""An index of free capacity, which makes the cost of a choice depend on distinct machines instead of their number.
 
-Machines that are alike in all that a choice looks at, but for their names and
-images, share a bucket.  Those of a zone, type and price kind are kept in the
-order of their free CPUs, so that full ones are not looked at.  Whoever writes
-to a view marks it, and it is filed anew before the next choice.
+Machines that differ only in their names and images share a bucket: every other
+property that a choice reads is equal.  The buckets of one zone, machine type
+and price kind (spot or not) are sorted by free CPUs, so that a choice skips
+full machines.  Code that writes to a view marks it dirty, and the view is
+indexed again before the next choice.
 """
 
 from collections import Counter
@@ -19,7 +20,7 @@
 
 
 class MachineKind(NamedTuple):
-    """What a job's rules ask of a machine."""
+    """The properties of a machine that a job's rules can restrict."""
 
     zone: str
     type: MachineType
@@ -27,62 +28,62 @@
 
 
 class _MachineProfile(NamedTuple):
-    """What else a choice looks at: machines of a kind for which all of it is the same share a bucket."""
+    """The other properties that a choice reads.  Machines of one kind with equal profiles share a bucket."""
 
     cpus: float
     gpus: float
     memory: float
-    kept: bool
-    kept_cpus: float
-    kept_memory: float
-    shunned: bool
-    held_for: str | None
+    gpu_reserved: bool
+    gpu_reserved_cpus: float
+    gpu_reserved_memory: float
+    suspected: bool
+    held_for_gang: str | None
 
 
 class MachineBucket:
-    """Machines that are alike but for their names and images."""
+    """Machines that differ only in their names and images."""
 
     __slots__ = ("arriving", "images", "kind", "names", "order", "profile")
 
-    def __init__(self, kind: MachineKind, alike: _MachineProfile, order: tuple[float, int]) -> None:
+    def __init__(self, kind: MachineKind, profile: _MachineProfile, order: tuple[float, int]) -> None:
         self.kind = kind
-        self.profile = alike
-        self.order = order  # among those of its kind: free CPUs, then as they came
+        self.profile = profile
+        self.order = order  # position in its kind: by free CPUs, then by creation
         self.names = SortedList()
-        self.images: dict[str, SortedList] = {}  # who has an image
-        self.arriving: dict[str, SortedList] = {}  # who fetches it
+        self.images: dict[str, SortedList] = {}  # names of the machines that have an image
+        self.arriving: dict[str, SortedList] = {}  # names of the machines that are fetching an image
 
     def fits(self, spec: JobSpec) -> bool:
-        """Whether one more task of the job has room on each of them; free CPUs were looked at already."""
-        alike = self.profile
-        guest = spec.gpus <= 0
+        """Whether each machine has room for one more task.  The caller has already compared the free CPUs."""
+        profile = self.profile
+        needs_no_gpu = spec.gpus <= 0
         return (
-            (alike.held_for is None or alike.held_for == spec.ref)
-            and alike.gpus + SLACK >= spec.gpus
-            and alike.memory + SLACK >= spec.memory + (alike.kept_memory if guest else 0.0)
-            and alike.cpus + SLACK >= spec.cpus + (alike.kept_cpus if guest else 0.0)
+            (profile.held_for_gang is None or profile.held_for_gang == spec.ref)
+            and profile.gpus + SLACK >= spec.gpus
+            and profile.memory + SLACK >= spec.memory + (profile.gpu_reserved_memory if needs_no_gpu else 0.0)
+            and profile.cpus + SLACK >= spec.cpus + (profile.gpu_reserved_cpus if needs_no_gpu else 0.0)
         )
 
     def with_image(self, image: str) -> Iterable[str]:
-        """Who has an image, by name."""
+        """The sorted names of the machines that have an image."""
         return self.images.get(image, ())
 
     def fetching(self, image: str) -> Iterable[str]:
-        """Who fetches it, by name."""
+        """The sorted names of the machines that are fetching an image."""
         return self.arriving.get(image, ())
 
     def without_image(self, image: str) -> Iterable[str]:
-        """Who neither has nor fetches it, by name."""
-        have, fetch = self.images.get(image, ()), self.arriving.get(image, ())
-        if not have and not fetch:
+        """The sorted names of the machines that neither have nor are fetching an image."""
+        with_it, fetching_it = self.images.get(image, ()), self.arriving.get(image, ())
+        if not with_it and not fetching_it:
             return self.names
-        if len(have) + len(fetch) == len(self.names):
+        if len(with_it) + len(fetching_it) == len(self.names):
             return ()
-        return (name for name in self.names if name not in have and name not in fetch)
+        return (name for name in self.names if name not in with_it and name not in fetching_it)
 
 
 class _IndexEntry(NamedTuple):
-    """Where a view was filed, and under which images."""
+    """The bucket and the images under which a view is indexed."""
 
     bucket: MachineBucket
     images: frozenset[str]
@@ -90,71 +91,71 @@
 
 
 class FreeCapacityIndex:
-    """The index.  `put` and `drop` change which machines there are; `mark_dirty` tells of a write to one's view."""
+    """The index.  `put` and `drop` change the set of machines; `mark_dirty` reports a write to a machine's view."""
 
     def __init__(self, views: Iterable[MachineView] = ()) -> None:
         self._views: dict[str, MachineView] = {}
         self._entries: dict[str, _IndexEntry] = {}
         self._buckets: dict[tuple[MachineKind, _MachineProfile], MachineBucket] = {}
         self._by_kind: dict[MachineKind, SortedDict] = {}
-        self._marked: set[str] = set()
+        self._dirty: set[str] = set()
         self._serial = count()
         for view in views:
             self.put(view)
 
     def put(self, view: MachineView) -> None:
-        """A machine's view as it is now, in place of the one before."""
+        """Add a machine's view or replace the previous one."""
         self._views[view.name] = view
-        self._marked.add(view.name)
+        self._dirty.add(view.name)
 
     def drop(self, name: str) -> None:
-        """A machine can take no work any more."""
+        """Remove a machine that can take no more work."""
         if self._views.pop(name, None) is not None:
-            self._marked.add(name)
+            self._dirty.add(name)
 
     def mark_dirty(self, name: str) -> None:
-        """A view was written to."""
-        self._marked.add(name)
+        """Have the view of a machine indexed again before the next choice, because it was written to."""
+        self._dirty.add(name)
 
     def clear(self) -> None:
-        """There are no machines."""
+        """Remove all machines."""
         for name in list(self._views):
             self.drop(name)
 
     def views(self) -> Iterable[MachineView]:
-        """All views, in no order."""
+        """All views, in no particular order."""
         return self._views.values()
 
     def view(self, name: str) -> MachineView | None:
-        """A machine's view."""
+        """The view of a machine, or None if the machine is unknown."""
         return self._views.get(name)
 
     def bucket_of(self, name: str) -> MachineBucket:
-        """Where a machine is filed."""
+        """The bucket of a machine."""
         self._reindex_dirty()
         return self._entries[name].bucket
 
     def kinds(self) -> Iterable[tuple[MachineKind, SortedDict]]:
-        """The buckets of each kind of machine, by their order."""
+        """Each kind of machine with its buckets, sorted by `MachineBucket.order`."""
         self._reindex_dirty()
         return self._by_kind.items()
 
     def select_all(self) -> "MachineSelection":
-        """All machines to choose from."""
+        """A selection of all machines."""
         return MachineSelection(self)
 
     def _reindex_dirty(self) -> None:
-        for name in self._marked:
+        for name in self._dirty:
             view = self._views.get(name)
             if view is None:
-                self._take_out(name)
+                self._remove_view(name)
             else:
                 self._index_view(view)
-        self._marked.clear()
+        self._dirty.clear()
 
     def _index_view(self, view: MachineView) -> None:
         kind = MachineKind(view.zone, view.type, view.spot)
-        alike = _MachineProfile(
+        profile = _MachineProfile(
             view.cpus,
             view.gpus,
             view.memory,
@@ -166,20 +167,20 @@
         )
         images = frozenset(view.images)
         arriving = view.fetching_images - images
-        filed = self._entries.get(view.name)
-        if filed is not None:
-            bucket = filed.bucket
+        entry = self._entries.get(view.name)
+        if entry is not None:
+            bucket = entry.bucket
             if (
-                alike == bucket.profile
+                profile == bucket.profile
                 and kind == bucket.kind
-                and images == filed.images
-                and arriving == filed.arriving
+                and images == entry.images
+                and arriving == entry.arriving
             ):
-                return  # made anew as it was, as most are when what is kept for accelerators changes
-            self._take_out(view.name)
-        bucket = self._buckets.get((kind, alike))
+                return  # unchanged, as most views are when the reservations for accelerator work change
+            self._remove_view(view.name)
+        bucket = self._buckets.get((kind, profile))
         if bucket is None:
-            bucket = self._buckets[kind, alike] = MachineBucket(kind, alike, (alike.cpus, next(self._serial)))
+            bucket = self._buckets[kind, profile] = MachineBucket(kind, profile, (profile.cpus, next(self._serial)))
             self._by_kind.setdefault(kind, SortedDict())[bucket.order] = bucket
         bucket.names.add(view.name)
         for image in images:
@@ -188,17 +189,17 @@
             bucket.arriving.setdefault(image, SortedList()).add(view.name)
         self._entries[view.name] = _IndexEntry(bucket, images, frozenset(arriving))
 
-    def _take_out(self, name: str) -> None:
-        filed = self._entries.pop(name, None)
-        if filed is None:
+    def _remove_view(self, name: str) -> None:
+        entry = self._entries.pop(name, None)
+        if entry is None:
             return
-        bucket, images, arriving = filed
+        bucket, images, arriving = entry
         bucket.names.remove(name)
-        for by_image, those in ((bucket.images, images), (bucket.arriving, arriving)):
-            for image in those:
-                by_image[image].remove(name)
-                if not by_image[image]:
-                    del by_image[image]
+        for machines_by_image, entry_images in ((bucket.images, images), (bucket.arriving, arriving)):
+            for image in entry_images:
+                machines_by_image[image].remove(name)
+                if not machines_by_image[image]:
+                    del machines_by_image[image]
         if not bucket.names:
             del self._buckets[bucket.kind, bucket.profile]
             del self._by_kind[bucket.kind][bucket.order]
@@ -206,35 +207,36 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSelection:
-    """The machines that a choice may be made from.  Narrowing it costs nothing, and choosing only what it looks at.
+    """The machines that may be chosen.  Narrowing a selection is cheap; a choice costs only the buckets that it reads.
 
-    `ready` is asked of a machine when it would be chosen; with it, zones are
-    not compared by their free room, so one zone at a time is chosen from.
+    `ready` is evaluated only for a machine that would be chosen next.  Free
+    room per zone does not take it into account, so a selection with `ready`
+    should contain a single zone.
     """
 
     index: FreeCapacityIndex
     zones: frozenset[str] | None = None
-    excluded_zones: frozenset[str] = frozenset()  # zones
-    excluded_machines: frozenset[str] = frozenset()  # machines
+    excluded_zones: frozenset[str] = frozenset()
+    excluded_machines: frozenset[str] = frozenset()
     kinds: Callable[[MachineKind], bool] | None = None
     ready: Callable[[MachineView], bool] | None = None
 
     def within(self, zones: Iterable[str]) -> "MachineSelection":
-        """Of these, the machines in some zones."""
+        """The machines of this selection that are in the given zones."""
         zones = frozenset(zones)
         return replace(self, zones=zones if self.zones is None else self.zones & zones)
 
     def outside(self, zones: Iterable[str]) -> "MachineSelection":
-        """Of these, the machines in all other zones."""
+        """The machines of this selection that are not in the given zones."""
         return replace(self, excluded_zones=self.excluded_zones | frozenset(zones))
 
     def of_kinds(self, kinds: Callable[[MachineKind], bool]) -> "MachineSelection":
-        """Of these, the machines of such kinds."""
-        before = self.kinds
-        return replace(self, kinds=kinds if before is None else lambda kind: before(kind) and kinds(kind))
+        """The machines of this selection whose kind satisfies a predicate."""
+        previous = self.kinds
+        return replace(self, kinds=kinds if previous is None else lambda kind: previous(kind) and kinds(kind))
 
     def avoiding(self, names: Iterable[str]) -> "MachineSelection":
-        """Of these, all others than those named; or all, if there are no others."""
+        """This selection without the named machines, or all of it if no others remain."""
         names = frozenset(names)
         others = replace(self, excluded_machines=self.excluded_machines | names)
         return others if any(True for _ in others) else self
@@ -245,14 +247,14 @@
                 yield view
 
     def get(self, name: str | None) -> MachineView | None:
-        """The view of a machine, if it is one of these."""
+        """The view of a machine, or None if this selection does not contain it."""
         view = self.index.view(name) if name is not None else None
         if view is None or not self._admits_kind(MachineKind(view.zone, view.type, view.spot)):
             return None
         return view if self.admits(view) else None
 
     def admits(self, view: MachineView) -> bool:
-        """Whether a machine of a bucket is one of these."""
+        """Whether a machine, whose kind was admitted already, is in this selection."""
         return view.name not in self.excluded_machines and (self.ready is None or self.ready(view))
 
     def _admits_kind(self, kind: MachineKind) -> bool:
@@ -263,26 +265,26 @@
         )
 
     def by_kind(self, spec: JobSpec) -> Iterator[tuple[MachineKind, list[MachineBucket]]]:
-        """Where at least one task of the job has room now, of each kind those with least free CPUs first."""
-        least = (spec.cpus - SLACK,)
+        """Per kind, the buckets with room for at least one task of the job now, fewest free CPUs first."""
+        min_order = (spec.cpus - SLACK,)
         for kind, buckets in self.index.kinds():
             if buckets and self._admits_kind(kind) and allowed(spec, kind.type, kind.zone, kind.spot):
-                fitting = [b for order in buckets.irange(minimum=least) if (b := buckets[order]).fits(spec)]
+                fitting = [b for order in buckets.irange(minimum=min_order) if (b := buckets[order]).fits(spec)]
                 if fitting:
                     yield kind, fitting
 
     def buckets(self, spec: JobSpec) -> Iterator[MachineBucket]:
-        """Where at least one task of the job has room now."""
+        """The buckets with room for at least one task of the job now."""
         return (bucket for _, buckets in self.by_kind(spec) for bucket in buckets)
 
     def reserved(self) -> list[MachineView]:
-        """The machines where something is held or kept for others."""
+        """The machines that are held for a gang or have capacity reserved for accelerator work."""
         names = [
             name
             for kind, buckets in self.index.kinds()
             if self._admits_kind(kind)
             for bucket in buckets.values()
-            if bucket.profile.held_for or bucket.profile.kept
+            if bucket.profile.held_for_gang or bucket.profile.gpu_reserved
             for name in bucket.names
         ]
         return [view for name in names if self.admits(view := self.index.view(name))]
@@ -293,22 +295,23 @@
         return [view for view in views if self.admits(view)]
 
     def slots(self, spec: JobSpec, whole: bool) -> Counter[str]:
-        """How many more tasks of the job each zone has room for now; of each machine only one, unless `whole`.
+        """How many more tasks of the job each zone has room for now.
 
-        Machines that are left out by name count as well.
+        Each machine counts for at most one task unless `whole` is set.
+        Machines that are excluded by name are counted as well.
         """
         slots: Counter[str] = Counter()
         for bucket in self.buckets(spec):
-            each = self.index.view(bucket.names[0]).capacity(spec) if whole else 1
-            slots[bucket.kind.zone] += each * len(bucket.names)
+            slots_per_machine = self.index.view(bucket.names[0]).capacity(spec) if whole else 1
+            slots[bucket.kind.zone] += slots_per_machine * len(bucket.names)
         return slots
 
     def free_cpus(self, bucket: MachineBucket) -> float:
-        """What is free on the machines of a bucket together, those that are left out aside."""
-        out = sum(1 for name in self.excluded_machines if name in bucket.names) if self.excluded_machines else 0
-        return bucket.profile.cpus * (len(bucket.names) - out)
+        """The total of free CPUs on the machines of a bucket, without the machines that are excluded by name."""
+        excluded = sum(1 for name in self.excluded_machines if name in bucket.names) if self.excluded_machines else 0
+        return bucket.profile.cpus * (len(bucket.names) - excluded)
 
 
 def selection_of(views: "Iterable[MachineView] | MachineSelection") -> MachineSelection:
-    """All of these machines to choose from, indexed for this once if they are not yet."""
+    """A selection of these machines; views that are not indexed yet get an index for this one use."""
     return views if isinstance(views, MachineSelection) else FreeCapacityIndex(views).select_all()
--- a/kelpjunction/placement/preemption.py
+++ b/kelpjunction/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Whom to stop for whom: the machines where a job gains room at the least loss."""
+"""Preemption: the machines where a job gains room at the least loss, and the tasks to stop there."""
 
 import heapq
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 class Victim(NamedTuple):
-    """Something that could be stopped: one task, or a gang's tasks on one machine."""
+    """Work that could be stopped: one task, or a gang's tasks on one machine."""
 
     placement: Any
     spec: JobSpec
@@ -23,8 +23,8 @@
         return self.spec.priority
 
 
-class _Stops(NamedTuple):
-    """Whom to stop on a machine for one task, or None, and what the machine was like when that was found out."""
+class _CachedVictims(NamedTuple):
+    """The victims to stop on a machine for one task, or None, and the machine's state for which they were computed."""
 
     free: tuple[float, float, float]
     victims: int
@@ -32,75 +32,81 @@
 
 
 class PreemptionCache:
-    """Whom to stop where, for the jobs of one round: those that ask for the same ask once of each machine.
+    """The victims per machine for the jobs of one round, computed once for all jobs with the same needs.
 
-    A machine is asked again once what is free on it, or who may be stopped on
-    it, has changed.
+    The victims on a machine are computed again when its free resources or the
+    number of its possible victims have changed.
     """
 
     def __init__(self, victims: dict[str, list[Victim]], preemption_policy: PreemptionPolicy) -> None:
         self.victims = victims
         self._preemption_policy = preemption_policy
-        self._known: dict[tuple, dict[str, _Stops]] = {}
-        self._stoppable: dict[tuple, dict[str, bool]] = {}  # by the job that victims are tasks of
+        self._cached: dict[tuple, dict[str, _CachedVictims]] = {}
+        self._may_preempt: dict[tuple, dict[str, bool]] = {}  # by preemption key, then by the ref of the victim's job
 
     def victims_for(self, spec: JobSpec, view: MachineView) -> list[Victim] | None:
-        """The cheapest victims on a machine that make room for one task of a job; none may be needed."""
-        needs = (spec.cpus, spec.gpus, spec.memory, *self._rank(spec))
-        known = self._known.setdefault(needs, {})
-        there = self.victims.get(view.name, ())
+        """The cheapest victims on a machine that make room for one task of a job.
+
+        The list is empty if there is room already.  None means that stopping
+        every permitted victim would not make enough room.
+        """
+        needs = (spec.cpus, spec.gpus, spec.memory, *self._preemption_key(spec))
+        by_machine = self._cached.setdefault(needs, {})
+        candidates = self.victims.get(view.name, ())
         free = (view.cpus, view.gpus, view.memory)
-        before = known.get(view.name)
-        if before is not None and before.free == free and before.victims == len(there):
-            return before.chosen
+        cached = by_machine.get(view.name)
+        if cached is not None and cached.free == free and cached.victims == len(candidates):
+            return cached.chosen
         chosen = None
-        if there or view.fits_ignoring_reservations(spec):
-            chosen = _enough(spec, view, self._below(spec, there))
-        known[view.name] = _Stops(free, len(there), chosen)
+        if candidates or view.fits_ignoring_reservations(spec):
+            chosen = _cheapest_victims(spec, view, self._preemptible(spec, candidates))
+        by_machine[view.name] = _CachedVictims(free, len(candidates), chosen)
         return chosen
 
-    def _rank(self, spec: JobSpec) -> tuple:
-        """All of a job that decides whom it may stop."""
+    def _preemption_key(self, spec: JobSpec) -> tuple:
+        """The properties of a job that decide which work it may preempt."""
         return spec.priority, spec.shape, self._preemption_policy.is_opportunistic(spec)
 
-    def _below(self, spec: JobSpec, victims: Iterable[Victim]) -> list[Victim]:
-        may = self._stoppable.setdefault(self._rank(spec), {})
-        below = []
+    def _preemptible(self, spec: JobSpec, victims: Iterable[Victim]) -> list[Victim]:
+        may_preempt_job = self._may_preempt.setdefault(self._preemption_key(spec), {})
+        preemptible = []
         for victim in victims:
             ref = victim.spec.ref
-            if ref not in may:
-                may[ref] = self._preemption_policy.may_preempt(spec, victim.spec)
-            if may[ref]:
-                below.append(victim)
-        return below
+            if ref not in may_preempt_job:
+                may_preempt_job[ref] = self._preemption_policy.may_preempt(spec, victim.spec)
+            if may_preempt_job[ref]:
+                preemptible.append(victim)
+        return preemptible
 
 
 def plan_preemptions(
     spec: JobSpec, count: int, views: Iterable[MachineView], preemption_cache: PreemptionCache, zones: Counter
 ) -> list[tuple[MachineView, list[Victim]]]:
-    """Machines where up to `count` tasks of the job gain room at the least loss, and whom to stop there.
+    """Choose machines where up to `count` tasks of the job gain room at the least loss, with the victims on each.
 
-    `zones` counts the job's tasks by zone; it, the views and the victims are
-    brought up to date.
+    `zones` counts the job's tasks by zone.  The counter, the views and the
+    cache's victims are updated in place.
     """
 
     def score(view: MachineView) -> tuple | None:
         chosen = preemption_cache.victims_for(spec, view)
         if chosen is None:
             return None
-        lost = sum((v.loss for v in chosen), timedelta()).total_seconds()
-        return lost + 3 * fetch_cost(spec, view), len(chosen), zones[view.zone], view.name, view, chosen
+        loss_s = sum((v.loss for v in chosen), timedelta()).total_seconds()
+        return loss_s + 3 * fetch_cost(spec, view), len(chosen), zones[view.zone], view.name, view, chosen
 
-    # Services alone may go where a gang that has waited long waits for the rest of its machines to come free:
-    # arrays that found no room elsewhere once filled each of them again, and the gang never began.
-    ours = (
+    # Machines held for a gang that has waited long, until the rest of its machines are free, admit only services.
+    # Arrays without room elsewhere used to refill each of these machines, and the gang never started.
+    admitting = (
         v for v in views if not v.hold_excludes_arrays or spec.shape is Shape.SERVICE or v.held_for_gang == spec.ref
     )
-    able = [v for v in ours if allowed(spec, v.type, v.zone, v.spot) and not v.suspected and not v.gpu_reserved]
-    heap = [entry for entry in map(score, able) if entry is not None]
+    eligible = [
+        v for v in admitting if allowed(spec, v.type, v.zone, v.spot) and not v.suspected and not v.gpu_reserved
+    ]
+    heap = [entry for entry in map(score, eligible) if entry is not None]
     heapq.heapify(heap)
-    gained: list[tuple[MachineView, list[Victim]]] = []
-    while heap and len(gained) < count:
+    planned: list[tuple[MachineView, list[Victim]]] = []
+    while heap and len(planned) < count:
         *_, view, chosen = heapq.heappop(heap)
         if zone_room(spec, zones, view.zone) <= 0:
             continue
@@ -109,15 +115,15 @@
             view.release(victim.spec)
         view.allocate(spec)
         zones[view.zone] += 1
-        gained.append((view, chosen))
-        again = score(view)
-        if again is not None:
-            heapq.heappush(heap, again)
-    return gained
+        planned.append((view, chosen))
+        rescored = score(view)
+        if rescored is not None:
+            heapq.heappush(heap, rescored)
+    return planned
 
 
-def _enough(spec: JobSpec, view: MachineView, victims: list[Victim]) -> list[Victim] | None:
-    """The cheapest victims on a machine that make room for one task, without needless ones."""
+def _cheapest_victims(spec: JobSpec, view: MachineView, victims: list[Victim]) -> list[Victim] | None:
+    """The cheapest victims on a machine that make room for one task, without unnecessary ones, or None."""
     free = [view.cpus, view.gpus, view.memory]
     need = (spec.cpus, spec.gpus, spec.memory)
     chosen: list[Victim] = []
--- a/kelpjunction/placement/prices.py
+++ b/kelpjunction/placement/prices.py
@@ -1,4 +1,4 @@
-"""What room for a task costs, and which room is dear."""
+"""The price of capacity per task, and which capacity counts as expensive."""
 
 import math
 from collections.abc import Iterable
@@ -7,25 +7,25 @@
 from kelpjunction.placement.views import SLACK, type_fits
 from kelpjunction.wire.messages import JobSpec, MachineType
 
-EXPENSIVE_PRICE_RATIO = 4  # times the cheapest room
+EXPENSIVE_PRICE_RATIO = 4  # to the lowest price per task
 
 
 def tasks_per_machine(spec: JobSpec, type_: MachineType) -> int:
-    """How many tasks of this job an empty machine of the type holds."""
+    """How many tasks of this job fit on an empty machine of the type, at least 1."""
     slots = 1_000_000
-    for whole, each in ((type_.cpus, spec.cpus), (type_.gpus, spec.gpus), (type_.memory, spec.memory)):
-        if each > 0:
-            slots = min(slots, int(whole / each + SLACK))
+    for total, per_task in ((type_.cpus, spec.cpus), (type_.gpus, spec.gpus), (type_.memory, spec.memory)):
+        if per_task > 0:
+            slots = min(slots, int(total / per_task + SLACK))
     return max(1, slots)
 
 
 def hourly_price_per_task(spec: JobSpec, type_: MachineType, spot: bool) -> float:
-    """What an hour of room for one task costs on a machine of this type."""
+    """The price of an hour of capacity for one task on a machine of this type."""
     return (type_.spot_price if spot else type_.price) / tasks_per_machine(spec, type_)
 
 
 class PriceLimit(NamedTuple):
-    """What room for a job need cost, and whether it may take room that costs several times that."""
+    """The lowest price of capacity for a job, and whether the job is kept off capacity at several times that price."""
 
     lowest_hourly_price: float
     exclude_expensive: bool
@@ -38,7 +38,7 @@
 
 
 def lowest_hourly_price_per_task(spec: JobSpec, types: Iterable[MachineType]) -> float:
-    """The least that an hour of room for one task costs."""
+    """The lowest price of an hour of capacity for one task among these types, or 0 if none fits."""
     return min(
         (hourly_price_per_task(spec, t, s) for t in types if type_fits(spec, t) for s in {False, spec.spot}),
         default=0.0,
--- a/kelpjunction/placement/views.py
+++ b/kelpjunction/placement/views.py
@@ -1,4 +1,4 @@
-"""A machine as placement sees it, and what a job may use."""
+"""The view of a machine that placement works on, and the rules for which machines a job may use."""
 
 from collections import Counter
 from collections.abc import Callable, Container
@@ -6,13 +6,13 @@
 
 from kelpjunction.wire.messages import JobSpec, MachineType
 
-SLACK = 1e-6
-FETCHING_SHARE = 0.6  # of a fetch, what is left of it on the mean if it is under way
+SLACK = 1e-6  # tolerance when sums of floating-point resources are compared
+REMAINING_FETCH_FRACTION = 0.6  # mean part of a fetch that remains when it is in progress
 
 
 @dataclass(slots=True, eq=False)
 class MachineView:
-    """A machine as placement sees it."""
+    """A machine as placement sees it: free resources, images and reservations."""
 
     name: str
     type: MachineType
@@ -26,59 +26,66 @@
     tasks: int = 0
     suspected: bool = False
     held_for_gang: str | None = None
-    hold_excludes_arrays: bool = False  # whether that keeps off arrays too that would else have others stopped
-    on_write: Callable[[str], None] | None = None  # told the name when a round writes to this view
-    # What work that needs no accelerator must leave free here, since work
-    # that needs one can go nowhere else.
+    hold_excludes_arrays: bool = False  # whether the hold also bars arrays that would preempt others here
+    on_write: Callable[[str], None] | None = None  # called with the name when a round writes to this view
+    # Work without accelerators must leave these resources free, because work
+    # that needs accelerators can't run elsewhere.
     gpu_reserved: bool = False
     gpu_reserved_cpus: float = 0.0
     gpu_reserved_memory: float = 0.0
 
     def fits(self, spec: JobSpec) -> bool:
-        """Whether one more task of this job has room here."""
-        guest = spec.gpus <= 0
+        """Whether this machine has room for one more task of the job, reservations for accelerator work respected."""
+        needs_no_gpu = spec.gpus <= 0
         return (
-            self.cpus + SLACK >= spec.cpus + (self.gpu_reserved_cpus if guest else 0.0)
+            self.cpus + SLACK >= spec.cpus + (self.gpu_reserved_cpus if needs_no_gpu else 0.0)
             and self.gpus + SLACK >= spec.gpus
-            and self.memory + SLACK >= spec.memory + (self.gpu_reserved_memory if guest else 0.0)
+            and self.memory + SLACK >= spec.memory + (self.gpu_reserved_memory if needs_no_gpu else 0.0)
         )
 
     def fits_ignoring_reservations(self, spec: JobSpec) -> bool:
-        """Whether one more task has room here, if nothing is kept for others."""
+        """Whether this machine has room for one more task of the job if reservations are ignored."""
         return self.cpus + SLACK >= spec.cpus and self.gpus + SLACK >= spec.gpus and self.memory + SLACK >= spec.memory
 
     def reserve_for_job(self, spec: JobSpec) -> None:
-        """Leave room here for one task of a job that has nowhere else to go."""
+        """Reserve room for one task of a job that can't run elsewhere."""
         self.reserve_for_gpu_work(spec.cpus, spec.gpus, spec.memory)
 
     def reserve_for_gpu_work(self, cpus: float, gpus: float, memory: float) -> None:
-        """Leave this much free here for work that needs accelerators, while they are free."""
+        """Reserve CPUs and memory for work that needs accelerators, if that many accelerators are free here."""
         self.gpu_reserved = True
         if self.gpus + SLACK >= gpus:
             self.gpu_reserved_cpus = max(self.gpu_reserved_cpus, cpus)
             self.gpu_reserved_memory = max(self.gpu_reserved_memory, memory)
 
     def capacity(self, spec: JobSpec) -> int:
-        """How many tasks of this job have room here."""
-        guest = spec.gpus <= 0
-        room = 1_000_000
-        for free, each in (
-            (self.cpus - (self.gpu_reserved_cpus if guest else 0.0), spec.cpus),
+        """How many more tasks of the job this machine has room for."""
+        needs_no_gpu = spec.gpus <= 0
+        slots = 1_000_000
+        for free, per_task in (
+            (self.cpus - (self.gpu_reserved_cpus if needs_no_gpu else 0.0), spec.cpus),
             (self.gpus, spec.gpus),
-            (self.memory - (self.gpu_reserved_memory if guest else 0.0), spec.memory),
+            (self.memory - (self.gpu_reserved_memory if needs_no_gpu else 0.0), spec.memory),
         ):
-            if each > 0:
-                room = min(room, int((free + SLACK) / each))
-        return max(0, room)
+            if per_task > 0:
+                slots = min(slots, int((free + SLACK) / per_task))
+        return max(0, slots)
 
     def hold_for_gang(self, ref: str, exclude_arrays: bool = False) -> None:
-        """Keep this machine for a gang: nothing below it in the order starts here; if `exclude_arrays`, no array."""
+        """Hold this machine for a gang: no job behind it in the order starts here.
+
+        With `exclude_arrays`, arrays can't preempt others here either.
+        """
         self.held_for_gang, self.hold_excludes_arrays = ref, exclude_arrays
         self._notify_write()
 
-    def set_reservation(self, held_for: str | None, kept_cpus: float, kept_memory: float) -> None:
-        """Set what is held and kept here, as it was before or for as long as one looks beside it."""
-        self.held_for_gang, self.gpu_reserved_cpus, self.gpu_reserved_memory = held_for, kept_cpus, kept_memory
+    def set_reservation(self, held_for_gang: str | None, reserved_cpus: float, reserved_memory: float) -> None:
+        """Set the gang hold and the reservation, to ignore them for a while or to restore them."""
+        self.held_for_gang, self.gpu_reserved_cpus, self.gpu_reserved_memory = (
+            held_for_gang,
+            reserved_cpus,
+            reserved_memory,
+        )
         self._notify_write()
 
     def _notify_write(self) -> None:
@@ -114,7 +121,7 @@
 
 
 def allowed(spec: JobSpec, type_: MachineType, zone: str, spot: bool) -> bool:
-    """Whether the job may use a machine of this type, zone and kind at all."""
+    """Whether the job's rules admit machines of this type, zone and price kind (spot or not)."""
     return (
         (spec.types is None or type_.name in spec.types)
         and (spec.zone is None or spec.zone == zone)
@@ -123,7 +130,7 @@
 
 
 def zone_room(spec: JobSpec, zones: Counter, zone: str) -> int:
-    """How many more tasks the job's zone rules admit in a zone, given where its others are."""
+    """How many more tasks the job's zone rules admit in a zone, given its task counts by zone."""
     if spec.one_zone and zones and any(z != zone and n > 0 for z, n in zones.items()):
         return 0
     if spec.spread:
@@ -131,14 +138,14 @@
     return spec.tasks
 
 
-def whole_fetch(spec: JobSpec, type_: MachineType) -> float:
-    """Seconds that a machine of this type takes to fetch the job's image."""
+def full_fetch_seconds(spec: JobSpec, type_: MachineType) -> float:
+    """Seconds that a machine of this type takes to fetch the job's whole image."""
     return spec.image_gb / max(type_.fetch_gb_per_s, 1e-3)
 
 
 def fetch_cost(spec: JobSpec, view: MachineView) -> float:
-    """Seconds that a task would wait for its image here."""
+    """Seconds that a task would wait for its image on this machine."""
     if spec.image in view.images:
         return 0.0
-    whole = whole_fetch(spec, view.type)
-    return whole * FETCHING_SHARE if spec.image in view.fetching_images else whole
+    full_fetch = full_fetch_seconds(spec, view.type)
+    return full_fetch * REMAINING_FETCH_FRACTION if spec.image in view.fetching_images else full_fetch
