--- a/kelpjunction/blocks/__init__.py
+++ b/kelpjunction/blocks/__init__.py
@@ -1,15 +1,16 @@
-"""Blocks of machines: who holds which, and under which token.
-
-A block is the machines of one zone.  Owns the grants in `l/block/<zone>` and
-the rising token counter in `l/token`.  The leader grants each block to a live
-node, in the block's own zone where it can; the holder serves the block's
-workers and places inside it, also while nobody leads.
-
-Every change of a grant takes a new, higher token, since tokens are all that a
-worker compares: once it has seen the new one, no command under an earlier one
-is executed.  A grant names its holder's incarnation: a process that was
-started again must be granted its blocks anew, because commands of the process
-before may still be under way under the old token.
+"""Blocks of machines: the node that holds each block, and its fencing token.
+
+A block is the machines of one zone.  This module owns the grants in
+`l/block/<zone>` and the increasing token counter in `l/token`.  The leader
+grants each block to a live node, in the block's own zone if possible.  The
+holder serves the block's workers and places tasks in it, also while there is
+no leader.
+
+Every change of a grant takes a new, higher token, because workers compare only
+tokens: a worker that has seen the new token executes no command under an
+earlier one.  A grant names its holder's incarnation.  A restarted process must
+be granted its blocks again, because commands of the previous process may still
+be in flight under the old token.
 """
 
 import logging
@@ -32,7 +33,7 @@
 BLOCK_PREFIX = "l/block/"
 
 
-RESTART_COUNT_RESET_INTERVAL = timedelta(seconds=60)  # a node that ended more often than that is not relied on at once
+RESTART_COUNT_RESET_INTERVAL = timedelta(seconds=60)  # a restart sooner after the last start counts towards the backoff
 MAX_RESTART_BACKOFF = timedelta(seconds=30)
 
 
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """A block's holder, the term it was granted in and the token workers obey."""
+    """A block's holder, the leader's term in which it was granted, and the fencing token."""
 
     zone: str
     holder: str
@@ -50,67 +51,68 @@
     term: int
     token: int
     version: int
-    since: timedelta  # when this node first saw this holder have it
+    since: timedelta  # steady time at which this node first saw this holder
 
 
 @dataclass(slots=True)
 class _ProcessStart:
-    """When a node's process was first seen, and how many of its kind ended shortly before."""
+    """When a node's process was first seen, and how many quick restarts preceded it."""
 
     incarnation: str
     at: timedelta
     restarts: int = 0
 
     def is_stable(self, now: timedelta) -> bool:
-        """Whether it may be given blocks: at once after a restart, later and later after several."""
+        """Whether the process may be granted blocks: at once, or after an exponential backoff for quick restarts."""
         return not self.restarts or now - self.at >= min(MAX_RESTART_BACKOFF, timedelta(seconds=2**self.restarts))
 
 
 class Blocks:
-    """All grants, as the state service has them."""
+    """All grants as this node's mirror of the state service has them, and the writes that change them."""
 
     def __init__(
         self, node: str, incarnation: str, store: StoreClient, mirror: Mirror, clock: Clock, recorder: Recorder
     ) -> None:
         self._recorder = recorder
-        self._me = (node, incarnation)
+        self._own_identity = (node, incarnation)
         self._store = store
         self._mirror = mirror
         self._clock = clock
         self.grants: dict[str, Grant] = {}
-        self._process_starts: dict[str, _ProcessStart] = {}  # as the leader saw the nodes come
+        self._process_starts: dict[str, _ProcessStart] = {}  # per node, as seen by this node as leader
         self.on_gain: Callable[[str], None] = lambda zone: None
         self.on_loss: Callable[[str], None] = lambda zone: None
-        mirror.listen(BLOCK_PREFIX, self._changed)
+        mirror.listen(BLOCK_PREFIX, self._on_grant_changed)
 
-    def _changed(self, key: str, value: dict | None, version: int) -> None:
+    def _on_grant_changed(self, key: str, value: dict | None, version: int) -> None:
         zone = key.removeprefix(BLOCK_PREFIX)
         old = self.grants.get(zone)
-        had, same = self.own_grant(zone) is not None, False
+        held_before, uninterrupted = self.own_grant(zone) is not None, False
         if value is None:
             self.grants.pop(zone, None)
         else:
             holder, token = (value["holder"], value["incarnation"]), value["token"]
-            # What comes in may be the last of several grants: read with all
-            # keys, or alone after a conflict.  Under a new token that its
-            # holder did not take itself, the block was perhaps another's
-            # meanwhile, who renewed leases and placed what is not known here.
-            same = old is not None and (old.holder, old.incarnation) == holder
-            same = same and (old.token == token or value.get("raised", False))
-            since = old.since if same else self._clock.steady()
+            # The value may be the latest of several grants, because it may come
+            # from a read of all keys or of this key after a conflict.  If the
+            # holder did not take the new token itself, another node may have
+            # held the block in between.  That node may have renewed leases and
+            # made placements that are unknown here.
+            uninterrupted = old is not None and (old.holder, old.incarnation) == holder
+            uninterrupted = uninterrupted and (old.token == token or value.get("raised", False))
+            since = old.since if uninterrupted else self._clock.steady()
             self.grants[zone] = Grant(zone, *holder, value["term"], token, version, since)
-        has = self.own_grant(zone) is not None
-        if had and not same:
-            self._note(GrantChange.LOST, old)
+        holds_now = self.own_grant(zone) is not None
+        if held_before and not uninterrupted:
+            self._record_change(GrantChange.LOST, old)
             self.on_loss(zone)
-        if has and not (had and same):
-            self._note(GrantChange.GAINED, self.grants[zone])
+        if holds_now and not (held_before and uninterrupted):
+            self._record_change(GrantChange.GAINED, self.grants[zone])
             self.on_gain(zone)
-        elif has and old.token != self.grants[zone].token:
-            self._note(GrantChange.RAISED, self.grants[zone])
+        elif holds_now and old.token != self.grants[zone].token:
+            self._record_change(GrantChange.RAISED, self.grants[zone])
 
-    def _note(self, change: GrantChange, grant: Grant) -> None:
-        """Keep a change of what this node holds, with the revision up to which it has read."""
+    def _record_change(self, change: GrantChange, grant: Grant) -> None:
+        """Record a change of a grant of this node, with the revision up to which the node has read."""
         self._recorder.record(
             GrantChanged(
                 change, grant.zone, grant.holder, grant.incarnation, grant.term, grant.token, grant.version,
@@ -119,13 +121,13 @@
         )  # fmt: skip
 
     def note_overtaken(self, zone: str) -> None:
-        """A worker of a block that this node holds has seen a higher token than its grant's."""
-        self._note(GrantChange.OVERTAKEN, self.grants[zone])
+        """Record that a worker of a held block has seen a higher token than that of this node's grant."""
+        self._record_change(GrantChange.OVERTAKEN, self.grants[zone])
 
     def own_grant(self, zone: str) -> Grant | None:
-        """The grant of a block that this very process holds."""
+        """The grant of a block if this process (node and incarnation) holds it, else None."""
         grant = self.grants.get(zone)
-        return grant if grant is not None and (grant.holder, grant.incarnation) == self._me else None
+        return grant if grant is not None and (grant.holder, grant.incarnation) == self._own_identity else None
 
     def held_zones(self) -> list[str]:
         return [zone for zone in self.grants if self.own_grant(zone) is not None]
@@ -139,7 +141,11 @@
         return grant.token if grant else None
 
     def issue_new_tokens(self, zones: list[str]) -> bool:
-        """As holder, take new tokens for these blocks: nothing sent under the old ones counts any more."""
+        """As holder, take new tokens for these blocks, so that commands under the old tokens become invalid.
+
+        Returns False if the write is not known to be applied.  Blocks that
+        this process does not hold are skipped.
+        """
         holders = {}
         for zone in zones:
             grant = self.own_grant(zone)
@@ -148,61 +154,64 @@
         return self._write(holders, {}, raised=True) if holders else True
 
     def assign(self, leader_term: LeaderTerm, zones: list[str], members: dict[str, dict]) -> None:
-        """As leader, grant each block without a live holder, and level blocks out among the live nodes.
+        """As leader, grant each block without a live holder, and balance the blocks over the live nodes.
 
-        A node that reaches no machine counts as little as a dead one, unless
-        all are so: it would let the leases of its workers run out.
+        A node that reaches no machine is treated as dead unless all nodes are
+        like that, because the leases of its workers would run out.
         """
         members = {n: m for n, m in members.items() if not m.get("deaf")} or members
-        members = self._steady(members) or members
+        members = self._stable_members(members) or members
         load = Counter(dict.fromkeys(members, 0))
-        lacking = []
+        without_holder = []
         for zone in zones:
             grant = self.grants.get(zone)
             if grant is None or members.get(grant.holder, {}).get("incarnation") != grant.incarnation:
-                lacking.append(zone)
+                without_holder.append(zone)
             else:
                 load[grant.holder] += 1
         moves = {}
-        for zone in lacking:
+        for zone in without_holder:
             if members:
-                moves[zone] = self._best(zone, members, load)
+                moves[zone] = self._best_holder(zone, members, load)
                 load[moves[zone]] += 1
-        if not moves and members and (low := min(load.values())) + 2 <= max(load.values()):
-            # One at a time, so that a node that came back gets its share gently.
-            poor = min((n for n in load if load[n] == low), key=str)
-            rich = max(load, key=lambda n: (load[n], n))
-            theirs = [z for z in zones if self.grants[z].holder == rich]
-            home = [z for z in theirs if z == members[poor]["zone"]]
-            moves[(home or theirs)[0]] = poor
+        if not moves and members and (min_load := min(load.values())) + 2 <= max(load.values()):
+            # One block at a time, so that a node that came back gets its share gradually.
+            least_loaded = min((n for n in load if load[n] == min_load), key=str)
+            most_loaded = max(load, key=lambda n: (load[n], n))
+            movable = [z for z in zones if self.grants[z].holder == most_loaded]
+            in_own_zone = [z for z in movable if z == members[least_loaded]["zone"]]
+            moves[(in_own_zone or movable)[0]] = least_loaded
         if moves:
-            most = max(1, self._store.limits.txn_ops - 1)
-            some = dict(list(moves.items())[:most])
-            holders = {z: (n, members[n]["incarnation"], leader_term.term) for z, n in some.items()}
+            max_moves = max(1, self._store.limits.txn_ops - 1)
+            batch = dict(list(moves.items())[:max_moves])
+            holders = {z: (n, members[n]["incarnation"], leader_term.term) for z, n in batch.items()}
             if self._write(holders, {LEADER_KEY: leader_term.leader_key_version}):
-                for zone, name in some.items():
+                for zone, name in batch.items():
                     log.info("block %s granted to %s under token %d", zone, name, self.grants[zone].token)
 
-    def _steady(self, members: dict[str, dict]) -> dict[str, dict]:
-        """The nodes without those that end again and again: each block given to one stood without a holder."""
+    def _stable_members(self, members: dict[str, dict]) -> dict[str, dict]:
+        """The nodes without those that restart repeatedly: blocks granted to such a node were left without a holder."""
         now = self._clock.steady()
         for name, member in members.items():
-            last = self._process_starts.get(name)
-            if last is None or last.incarnation != member["incarnation"]:
-                soon = last is not None and now - last.at < RESTART_COUNT_RESET_INTERVAL
-                self._process_starts[name] = _ProcessStart(member["incarnation"], now, last.restarts + 1 if soon else 0)
+            previous = self._process_starts.get(name)
+            if previous is None or previous.incarnation != member["incarnation"]:
+                restarted_soon = previous is not None and now - previous.at < RESTART_COUNT_RESET_INTERVAL
+                self._process_starts[name] = _ProcessStart(
+                    member["incarnation"], now, previous.restarts + 1 if restarted_soon else 0
+                )
         return {n: m for n, m in members.items() if self._process_starts[n].is_stable(now)}
 
-    def _best(self, zone: str, members: dict[str, dict], load: Counter) -> str:
-        """The live node for a block: one in its zone if that has no more than its share, else the least loaded."""
+    def _best_holder(self, zone: str, members: dict[str, dict], load: Counter) -> str:
+        """Choose the live node for a block: among the least loaded, one in the block's zone if there is one."""
         least = min(load[n] for n in members)
         return min(members, key=lambda n: (load[n] > least, members[n]["zone"] != zone, load[n], n))
 
     def _write(self, holders: dict[str, tuple[str, str, int]], guards: dict[str, int], raised: bool = False) -> bool:
-        """Write these grants under new tokens.
+        """Write these grants under new tokens and return whether the write is known to be applied.
 
-        `raised` marks those of their own holder: guarded by the grants as it
-        knew them, so nobody had the blocks in between, whenever it hears of it.
+        `raised` marks grants that their own holder writes.  The write is
+        guarded by the versions of the grants that the holder knew, so no other
+        node held the blocks in between, however late the holder sees the change.
         """
         counter = self._mirror.get(TOKEN_KEY)
         token = counter.value if counter else 0
@@ -216,7 +225,7 @@
         puts[TOKEN_KEY] = token
         outcome = self._store.commit(guards, puts, purpose=Purpose.COORDINATION)
         if outcome.status is not CommitStatus.APPLIED:
-            log.info("blocks %s: %s", ",".join(holders), outcome.status.value)
+            log.info("write of grants for blocks %s was not confirmed: %s", ",".join(holders), outcome.status.value)
             return False
         self._mirror.put_outcome(puts, (), outcome.revision)
         return True
--- a/kelpjunction/blocks/events.py
+++ b/kelpjunction/blocks/events.py
@@ -1,4 +1,4 @@
-"""What happens to the blocks that a node holds, as the recorder keeps it."""
+"""Recorder events for changes of the block grants that a node holds."""
 
 import logging
 from dataclasses import dataclass
@@ -9,17 +9,21 @@
 
 
 class GrantChange(Enum):
-    """What became of a grant that this node has or had."""
+    """A kind of change of a grant that this node holds or held."""
 
     GAINED = "gained"
-    RAISED = "raised"  # by its own holder, to a new token
-    OVERTAKEN = "overtaken"  # a worker has seen a higher token: another holds the block, though no news of it came
+    RAISED = "raised"  # its holder took a new token itself
+    OVERTAKEN = "overtaken"  # a worker has seen a higher token: another node holds the block, not yet in the mirror
     LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class GrantChanged(Event):
-    """A grant of this node's changed; `version` is the grant's, `revision` what this node has read up to."""
+    """A grant of this node changed.
+
+    `version` is the version of the grant's key, `revision` the state service's
+    revision up to which this node has read.
+    """
 
     level: ClassVar[int] = logging.INFO
     change: GrantChange
--- a/kelpjunction/queue/__init__.py
+++ b/kelpjunction/queue/__init__.py
@@ -1,8 +1,9 @@
-"""Who is next: the order of weighted deficit, and the teams' guarantees and limits.
+"""The order of waiting jobs by weighted deficit, and the teams' guarantees, limits and preemption rules.
 
-Pure: values in, decisions out; no clock and no I/O.  A job's deficit is the
-service it should have had (its weight for each second since it came, plus a
-credit on arrival) less the machine time it received.
+The functions are pure: they use no clock and do no I/O.  A job's deficit is
+the service it should have received minus the machine time it received.  That
+service is its weight times the sum of the seconds since its submission and an
+arrival credit.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -13,25 +14,25 @@
 from kelpjunction.settings import Team
 from kelpjunction.wire.messages import JobSpec, Shape
 
-SLACK = 1e-6
-# The largest jobs are to begin within four minutes (PROTOCOL's users): half of that is left to the plain order,
-# the rest to what their room takes to come free or to boot.  After a minute already, others lost deadlines for it.
+SLACK = 1e-6  # tolerance when sums of floating-point resources are compared
+# The largest jobs must start within four minutes (PROTOCOL, users).  Half of that is left to the normal order and
+# half to the time until their room is free or booted.  With a delay of one minute, other jobs missed deadlines.
 LARGE_JOB_ESCALATION_DELAY = timedelta(seconds=120)
 
 
 class PendingJob(NamedTuple):
-    """A job with tasks that wait, as the order sees it."""
+    """A job with waiting tasks, with the properties that decide its place in the order."""
 
     ref: str
     weight: float
     submitted: datetime
     machine_time: timedelta
-    is_service: bool = False  # nothing is put ahead of it: a service
-    escalated: bool = False  # a large job that has waited long, and has not begun whole
+    is_service: bool = False  # escalated jobs are not moved ahead of services at the head of the order
+    escalated: bool = False  # a large job that has waited long and is not fully started
 
 
 class JobDemand(NamedTuple):
-    """An unfinished job, and what all its unfinished tasks would hold at once."""
+    """The resources that all unfinished tasks of a job would hold at once."""
 
     ref: str
     cpus: float
@@ -44,50 +45,50 @@
     teams: dict[str, Team],
     factor: Callable[[str], float] = lambda team: 1.0,
 ) -> dict[str, float]:
-    """What part of its weight each waiting job keeps.
-
-    All of it while the job fits its team's guarantee together with the team's
-    earlier unfinished jobs.  Beyond that a team's waiting jobs share one
-    weight, so that a swarm of them can't outrun everybody else; `factor` says
-    what of that weight a team keeps for what it has used before.  `claims` has
-    each team's unfinished jobs, the earliest first; they are read only as far
-    as the guarantee reaches.
+    """The fraction of its weight that each waiting job keeps, by job ref.
+
+    A job keeps all of it if it fits its team's guarantee together with the
+    team's earlier unfinished jobs.  The team's other waiting jobs share one
+    weight, so that a large number of them can't crowd out other teams.
+    `factor` gives the fraction of this shared weight that a team keeps, based
+    on its past usage.  `claims` has each team's unfinished jobs, earliest
+    first, and is read only until the guarantee is exceeded.
     """
     kept: dict[str, float] = {}
     for name, refs in waiting.items():
         team = teams.get(name)
         if team is None:
             continue
-        inside = _inside(team, claims[name])
-        beyond = [ref for ref in refs if ref not in inside]
+        within = _jobs_within_guarantee(team, claims[name])
+        exceeding = [ref for ref in refs if ref not in within]
         kept.update(dict.fromkeys(refs, 1.0))
-        kept.update(dict.fromkeys(beyond, factor(name) / max(1, len(beyond))))
+        kept.update(dict.fromkeys(exceeding, factor(name) / max(1, len(exceeding))))
     return kept
 
 
-def _inside(team: Team, claims: Iterable[JobDemand]) -> set[str]:
-    """The jobs that fit the team's guarantee together with all before them."""
-    inside: set[str] = set()
+def _jobs_within_guarantee(team: Team, claims: Iterable[JobDemand]) -> set[str]:
+    """The jobs that fit the team's guarantee together with all jobs before them."""
+    within: set[str] = set()
     if team.without_guarantee:
-        return inside  # who is guaranteed nothing is always beyond
+        return within  # every job of a team without a guarantee exceeds it
     cpus = gpus = 0.0
     for claim in claims:
         cpus += claim.cpus
         gpus += claim.gpus
-        # A guarantee of 0 is none, and none is not exceeded.
+        # A guarantee of 0 for one resource means none for it, so it is never exceeded.
         if (team.cpus and cpus > team.cpus + SLACK) or (team.gpus and gpus > team.gpus + SLACK):
-            break  # claims only add up
-        inside.add(claim.ref)
-    return inside
+            break  # the sums only grow, so later jobs exceed the guarantee as well
+        within.add(claim.ref)
+    return within
 
 
 class PreemptionPolicy:
-    """Who may stop whom, and who only uses what others leave.
+    """Decides which work may preempt which, and which work is opportunistic.
 
-    Services may stop arrays and whole gangs that save.  Beyond the source,
-    arrays may too, though only what nobody waits for: a guest's tasks, or
-    those of a class that no objective names.  Whatever the shape, only work
-    of lower priority is stopped.
+    Only work of lower priority is preempted.  Services may preempt arrays, and
+    whole gangs that save checkpoints.  In addition to the original rules,
+    arrays may preempt opportunistic arrays: those of a team without a
+    guarantee, or of a class that no objective names.
     """
 
     def __init__(self, teams: dict[str, Team], classes_with_objectives: frozenset[str]) -> None:
@@ -95,16 +96,16 @@
         self._classes_with_objectives = classes_with_objectives
 
     def without_guarantee(self, spec: JobSpec) -> bool:
-        """Whether the job's team is guaranteed nothing."""
+        """Whether the job's team has no guarantee."""
         team = self._teams.get(spec.team)
         return team is not None and team.without_guarantee
 
     def has_objective(self, spec: JobSpec) -> bool:
-        """Whether an objective names the job's class; without objectives every class counts."""
+        """Whether an objective names the job's class; True for every class if there are no objectives."""
         return not self._classes_with_objectives or spec.klass in self._classes_with_objectives
 
     def is_opportunistic(self, spec: JobSpec) -> bool:
-        """Whether the job is array work that takes what others leave, and gives it back."""
+        """Whether the job is an array that only uses capacity left by others and can be preempted for them."""
         return spec.shape is Shape.ARRAY and (self.without_guarantee(spec) or not self.has_objective(spec))
 
     def may_preempt(self, spec: JobSpec, victim: JobSpec) -> bool:
@@ -116,64 +117,65 @@
 
 
 def deficit(job: PendingJob, now: datetime, credit: timedelta) -> float:
-    """What the job is owed, in weighted seconds."""
+    """The job's deficit in weighted seconds; `credit` is the arrival credit."""
     waited = now - job.submitted + credit
     return job.weight * waited.total_seconds() - job.machine_time.total_seconds()
 
 
 def in_order(jobs: Iterable[PendingJob], now: datetime, credit: timedelta) -> list[str]:
-    """Jobs by deficit, the largest first; the older, then the smaller id, where it is equal.
+    """The refs of jobs by deficit, largest first; ties go to the older job, then to the smaller ref.
 
-    Pressing jobs come, the oldest first, right behind the services that top
-    the order.  So the room that comes free goes to the oldest of them until it
-    has begun, and one waits no longer than until it presses, and then for
-    those that pressed before it and for its own room.
+    Escalated jobs, oldest first, come right behind the services at the head of
+    the order.  Room that becomes free therefore goes to the oldest escalated
+    job until it has started.  So a large job waits at most until its
+    escalation, then for the jobs escalated before it and for its own room.
     """
     jobs = sorted(jobs, key=lambda j: (-deficit(j, now, credit), j.submitted, j.ref))
-    plain = [j for j in jobs if not j.escalated]
-    top = next((i for i, j in enumerate(plain) if not j.is_service), len(plain))
-    pressing = sorted((j for j in jobs if j.escalated), key=lambda j: (j.submitted, j.ref))
-    return [j.ref for j in (*plain[:top], *pressing, *plain[top:])]
+    normal = [j for j in jobs if not j.escalated]
+    first_non_service = next((i for i, j in enumerate(normal) if not j.is_service), len(normal))
+    escalated_jobs = sorted((j for j in jobs if j.escalated), key=lambda j: (j.submitted, j.ref))
+    return [j.ref for j in (*normal[:first_non_service], *escalated_jobs, *normal[first_non_service:])]
 
 
 class LargeJobs:
-    """Which jobs are large for their class, by the largest of it that was seen lately."""
+    """Decides which jobs are large, compared with the largest recent job of their class."""
 
     def __init__(self, teams: dict[str, Team]) -> None:
         self._teams = teams
         self._largest: dict[str, float] = {}
 
     def note(self, specs: Iterable[JobSpec]) -> None:
-        """See these jobs."""
+        """Take these jobs into account for the largest demand of each class."""
         for spec in specs:
             self._largest[spec.klass] = max(self._largest.get(spec.klass, 0.0), total_demand(spec))
 
     def is_large(self, spec: JobSpec) -> bool:
-        """Whether the job asks for more than half of what the largest of its class does."""
+        """Whether the job's total demand exceeds half of the largest of its class."""
         return 2 * total_demand(spec) > self._largest.get(spec.klass, 0.0)
 
     def is_escalated(self, spec: JobSpec, started: int, waited: timedelta) -> bool:
-        """Whether it has waited long, is large, and runs fewer tasks than its team may run of it at once.
+        """Whether a large job has waited long and runs fewer tasks than its team may run of it at once.
 
-        A guest only uses what others leave, and nothing is put ahead of anybody for it.
+        Jobs of teams without a guarantee are never escalated, because they
+        only use capacity left by others.
         """
         team = self._teams.get(spec.team)
         if team is None or team.without_guarantee or spec.shape is Shape.SERVICE or waited < LARGE_JOB_ESCALATION_DELAY:
             return False
-        whole = spec.tasks
+        startable = spec.tasks
         if spec.shape is Shape.ARRAY:
-            whole = Usage(self._teams).startable_tasks(spec.team, spec.cpus, spec.gpus, spec.tasks)
-        return started < whole and self.is_large(spec)
+            startable = Usage(self._teams).startable_tasks(spec.team, spec.cpus, spec.gpus, spec.tasks)
+        return started < startable and self.is_large(spec)
 
 
 def total_demand(spec: JobSpec) -> float:
-    """What a job asks for in all: accelerators where its tasks take any, else CPUs."""
+    """The total demand of a job: accelerators if its tasks need any, else CPUs."""
     return (spec.gpus or spec.cpus) * spec.tasks
 
 
 @dataclass(slots=True)
 class Usage:
-    """What each team's tasks hold, placements that are not settled included."""
+    """The CPUs and accelerators that each team's tasks hold, including placements that are not settled."""
 
     teams: dict[str, Team]
     cpus: dict[str, float] = field(default_factory=dict)
@@ -184,28 +186,28 @@
         self.gpus[team] = self.gpus.get(team, 0.0) + gpus * count
 
     def excluding_jobs(self, kept: Iterable[JobSpec]) -> "Usage":
-        """This, less what was added for these jobs as a whole."""
+        """This usage minus all tasks of the given jobs."""
         left = Usage(self.teams, dict(self.cpus), dict(self.gpus))
         for spec in kept:
             left.add(spec.team, spec.cpus, spec.gpus, -spec.tasks)
         return left
 
     def startable_tasks(self, team: str, cpus: float, gpus: float, most: int) -> int:
-        """How many such tasks the team may still start, at most `most`."""
+        """How many more tasks of this size the team may start within its limits, at most `most`."""
         limits = self.teams.get(team)
         if limits is None:
             return 0
-        for each, limit, used in (
+        for per_task, limit, used in (
             (cpus, limits.cpus_max, self.cpus.get(team, 0.0)),
             (gpus, limits.gpus_max, self.gpus.get(team, 0.0)),
         ):
-            if limit is not None and each > 0:
-                most = min(most, int((limit - used + SLACK) / each))
+            if limit is not None and per_task > 0:
+                most = min(most, int((limit - used + SLACK) / per_task))
         return max(0, most)
 
 
 def over_limit(team: Team, cpus: float, gpus: float, count: int) -> bool:
-    """Whether so many tasks at once could never run within the team's limit."""
+    """Whether `count` tasks at once exceed the team's limit even if nothing else of the team runs."""
     return (team.cpus_max is not None and cpus * count > team.cpus_max + SLACK) or (
         team.gpus_max is not None and gpus * count > team.gpus_max + SLACK
     )
--- a/kelpjunction/rate_limiter/__init__.py
+++ b/kelpjunction/rate_limiter/__init__.py
@@ -1,16 +1,18 @@
-"""One budget for what a node asks of the state service: who writes next, and who waits for how long.
-
-Pure: values in, decisions out; no clock and no I/O.  The service refuses
-changes above a rate and lets one second's worth go at once: a token bucket
-that all nodes draw from.  Each node keeps a picture of it (`TokenBucket`): what it
-spent itself, what it sees others spend in the news that it follows anyway,
-and what a refusal tells.  So nodes share the rate by need without talking.
-
-What is left goes by purpose, with trunk reservation: the less urgent a
-purpose, the more must be left over for others before it may take any.  What
-has waited for its patience needs nothing left over any more, and then goes
-before all but what a rule hangs on: each purpose has a share, however busy
-the others are.  docs/budget.md weighs this against other ways.
+"""The rate limiter for a node's writes to the state service: which purpose writes next, and how long others wait.
+
+The code is pure: it uses no clock and does no I/O.  The service refuses
+changes above a rate and allows a burst of one second's worth: a token bucket
+that all nodes share.  Each node keeps an estimate of it (`TokenBucket`) from
+the changes that it sent, the changes of others that it sees in the updates it
+follows anyway, and refusals.  So nodes share the rate by need without
+communicating.
+
+The available rate is divided by purpose, with trunk reservation: the less
+urgent a purpose, the more must remain for others before it may write.  A
+purpose that has waited for its maximum delay needs no remainder any more.  It
+then precedes all purposes except the unthrottled ones, on which correctness
+depends.  So each purpose gets a share, however busy the others are.
+docs/budget.md compares this with alternatives.
 """
 
 from collections import Counter
@@ -20,34 +22,34 @@
 
 from kelpjunction.clock import ZERO, seconds
 
-SAFETY = 0.97  # of the rate: two clocks drift, and news of what others spend come late
-THROTTLED_STATE_DURATION = timedelta(seconds=2)  # how long after a denial or a refusal the budget counts as short
-PENDING_REQUEST_TTL = timedelta(seconds=1)  # what does not ask again has gone: its writer found nothing left to write
+RATE_SAFETY_FACTOR = 0.97  # fraction of the rate: clocks drift, and updates about the changes of others arrive late
+THROTTLED_STATE_DURATION = timedelta(seconds=2)  # how long a denial or a refusal determines the limiter's state
+PENDING_REQUEST_TTL = timedelta(seconds=1)  # a request not repeated is dropped: its writer has nothing left to write
 
 
 class Purpose(Enum):
-    """What a write is for; in the order of urgency."""
+    """The purpose of a write, most urgent first."""
 
-    COORDINATION = "hold"  # memberships, leads, grants, tokens: a rule or the leader hangs on them
-    CANCEL_OR_FENCE = "settle"  # cancellations by users, and fences
-    SUBMIT = "submit"  # a user waits for the answer
-    CLOUD = "cloud"  # what is rented and returned: few changes, and each machine costs money
-    SERVICE = "service"  # starts, results and hand-overs of services
+    COORDINATION = "hold"  # memberships, leadership, grants, tokens: correctness or the leader depends on them
+    CANCEL_OR_FENCE = "settle"  # cancellations by users, and fencing
+    SUBMIT = "submit"  # submissions: a user waits for the response
+    CLOUD = "cloud"  # rentals and returns of machines: few changes, and each machine costs money
+    SERVICE = "service"  # starts, results and dispatches of services
     GANG = "gang"
     ARRAY = "array"
-    RESULT = "result"  # ends and results
+    RESULT = "result"  # ends and results of tasks
     MACHINE_STATE = "fact"  # machines' states
-    BEST_EFFORT = "spare"  # images, snapshots: they only help
+    BEST_EFFORT = "spare"  # images and snapshots: useful but not required
 
 
 class PurposePolicy:
-    """What a purpose must leave to others, and how long it may be put off."""
+    """The capacity that a purpose must leave to others, and its maximum delay."""
 
     __slots__ = ("max_delay", "reserved_fraction")
 
-    def __init__(self, leaves: float, patience: float) -> None:
-        self.reserved_fraction = leaves  # of a second's worth
-        self.max_delay = seconds(patience)
+    def __init__(self, reserved_fraction: float, max_delay_s: float) -> None:
+        self.reserved_fraction = reserved_fraction  # of the burst, which is one second's worth of changes
+        self.max_delay = seconds(max_delay_s)
 
 
 PURPOSE_POLICIES = {
@@ -62,26 +64,26 @@
     Purpose.MACHINE_STATE: PurposePolicy(0.1, 1.0),
     Purpose.BEST_EFFORT: PurposePolicy(0.6, 20.0),
 }
-# What waits for nobody: a hold that is not extended ends, and a cancellation that is not
-# written down is not acted on.
+# These never wait: a store lease that is not renewed expires, and a cancellation is not acted on before it is
+# written.
 UNTHROTTLED_PURPOSES = frozenset({Purpose.COORDINATION, Purpose.CANCEL_OR_FENCE})
 
 
 class LimiterState(Enum):
-    """How the budget stands; `WriteRateLimiter._update_state` makes every change."""
+    """The state of the limiter; only `WriteRateLimiter._update_state` changes it."""
 
     UNTHROTTLED = "ample"
-    THROTTLED = "short"  # something had to wait of late
-    REFUSED = "refused"  # the service refused something of late
+    THROTTLED = "short"  # a request was denied recently
+    REFUSED = "refused"  # the state service refused a write recently
 
 
 class TokenBucket:
-    """What the state service would take now, as this node sees it."""
+    """A node's estimate of how many changes the state service accepts now."""
 
     __slots__ = ("_at", "burst", "level", "rate")
 
     def __init__(self, rate: float, now: timedelta) -> None:
-        self.rate = rate * SAFETY
+        self.rate = rate * RATE_SAFETY_FACTOR
         self.burst = self.level = rate
         self._at = now
 
@@ -91,25 +93,25 @@
             self._at = now
 
     def consume(self, changes: float) -> None:
-        """Changes that this node sent, or saw others have applied: never less than empty."""
+        """Subtract changes that this node sent or saw applied for others.  The level does not fall below 0."""
         self.level = max(0.0, self.level - changes)
 
     def on_refusal(self, changes: float) -> None:
-        """The service had room for fewer than these: somewhere between none and all but one of them."""
+        """Lower the estimate: the service had room for between 0 and `changes - 1` changes."""
         self.level = min(self.level, changes / 2 if changes > 1 else 0.0)
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """What waits of one purpose: since when, and how much it needs at the least."""
+    """A purpose's waiting writes: since when they wait, and the changes that the smallest of them needs."""
 
     since: timedelta
     asked_at: timedelta
-    needs: float
+    min_changes: float
 
 
 class WriteRateLimiter:
-    """A node's share of the state service's changes, by purpose."""
+    """Limits a node's changes to the state service by purpose, and counts them."""
 
     def __init__(self, rate: float, now: timedelta) -> None:
         self._bucket = TokenBucket(rate, now)
@@ -122,35 +124,35 @@
 
     @property
     def burst(self) -> float:
-        """What may be asked for at once at the most."""
+        """The largest number of changes that can be requested at once."""
         return self._bucket.burst
 
     def waiting(self, now: timedelta) -> list[Purpose]:
-        """What waits for its turn, the most urgent first."""
+        """The purposes with a waiting request, most urgent first."""
         return [purpose for purpose in Purpose if self._pending_request(purpose, now) is not None]
 
     def on_foreign_changes(self, changes: int, now: timedelta) -> None:
-        """Other nodes had so many changes applied, as the news tell."""
+        """Subtract changes of other nodes that this node has seen applied."""
         self._bucket.refill(now)
         self._bucket.consume(changes)
 
     def available_changes(self, purpose: Purpose, now: timedelta) -> int:
-        """How many changes this purpose may send now; asking counts nothing."""
+        """How many changes this purpose may send now, without reserving them."""
         self._bucket.refill(now)
         if purpose in UNTHROTTLED_PURPOSES:
             return int(self._bucket.burst)
         left = self._bucket.level - self._reserved_level(purpose, now)
         if not self._overdue(purpose, now):
-            # Whoever has waited for too long goes first, or large requests would starve behind small ones.
+            # Overdue purposes go first, because large requests would starve behind small ones otherwise.
             left -= sum(
-                self._pending_requests[p].needs
+                self._pending_requests[p].min_changes
                 for p in self._pending_requests
                 if p is not purpose and self._overdue(p, now)
             )
         return max(0, int(left + 1e-9))
 
     def try_reserve(self, purpose: Purpose, changes: int, now: timedelta) -> bool:
-        """Whether so many changes may be sent now; if so they count as sent."""
+        """Reserve changes to send now.  If that is not possible, return False and register the purpose as waiting."""
         changes = min(changes, int(self.burst))
         if self.available_changes(purpose, now) >= changes:
             self._pending_requests.pop(purpose, None)
@@ -159,22 +161,22 @@
             self._update_state(now)
             return True
         self.denied[purpose] += 1
-        queue = self._pending_request(purpose, now)
-        if queue is None:
+        pending = self._pending_request(purpose, now)
+        if pending is None:
             self._pending_requests[purpose] = _PendingRequest(now, now, changes)
         else:
-            queue.needs, queue.asked_at = min(queue.needs, changes), now
+            pending.min_changes, pending.asked_at = min(pending.min_changes, changes), now
         self._denied_at = now
         self._update_state(now)
         return False
 
     def delay(self, purpose: Purpose, changes: int, now: timedelta) -> timedelta:
-        """When asking again may succeed, at the earliest."""
-        lacking = min(changes, self.burst) - self.available_changes(purpose, now)
-        return seconds(lacking / self._bucket.rate) if lacking > 0 else ZERO
+        """The shortest time after which a new request may succeed."""
+        missing = min(changes, self.burst) - self.available_changes(purpose, now)
+        return seconds(missing / self._bucket.rate) if missing > 0 else ZERO
 
     def on_refusal(self, purpose: Purpose, changes: int, now: timedelta) -> None:
-        """The service refused: nothing was spent, and what others spent was not all seen."""
+        """Account for a refusal: nothing was spent, and other nodes spent more than this node has seen."""
         self._bucket.refill(now)
         self._bucket.on_refusal(changes)
         self.spent[purpose] -= changes
@@ -183,21 +185,21 @@
         self._update_state(now)
 
     def _reserved_level(self, purpose: Purpose, now: timedelta) -> float:
-        """What must be left over; it shrinks to nothing while the purpose waits."""
-        terms, queue = PURPOSE_POLICIES[purpose], self._pending_request(purpose, now)
-        share = 1.0 if queue is None else max(0.0, 1.0 - (now - queue.since) / terms.max_delay)
-        return terms.reserved_fraction * share * self._bucket.burst
+        """The level that this purpose must leave to others; it falls to 0 during the purpose's maximum delay."""
+        policy, pending = PURPOSE_POLICIES[purpose], self._pending_request(purpose, now)
+        share = 1.0 if pending is None else max(0.0, 1.0 - (now - pending.since) / policy.max_delay)
+        return policy.reserved_fraction * share * self._bucket.burst
 
     def _pending_request(self, purpose: Purpose, now: timedelta) -> _PendingRequest | None:
-        queue = self._pending_requests.get(purpose)
-        return None if queue is None or now - queue.asked_at > PENDING_REQUEST_TTL else queue
+        pending = self._pending_requests.get(purpose)
+        return None if pending is None or now - pending.asked_at > PENDING_REQUEST_TTL else pending
 
     def _overdue(self, purpose: Purpose, now: timedelta) -> bool:
-        queue = self._pending_request(purpose, now)
-        return queue is not None and now - queue.since >= PURPOSE_POLICIES[purpose].max_delay
+        pending = self._pending_request(purpose, now)
+        return pending is not None and now - pending.since >= PURPOSE_POLICIES[purpose].max_delay
 
     def _update_state(self, now: timedelta) -> None:
-        """The one place where the budget's state changes."""
+        """Set the limiter's state; nothing else changes it."""
         if now - self._refused_at < THROTTLED_STATE_DURATION:
             self.state = LimiterState.REFUSED
         elif now - self._denied_at < THROTTLED_STATE_DURATION:
