--- a/kelpjunction/store/__init__.py
+++ b/kelpjunction/store/__init__.py
@@ -1,6 +1,6 @@
-"""The state service: the only place where controllers keep anything.
+"""Access to the state service, the only place where controllers store anything.
 
-Owns the conversation with it (`client`): pacing, transactions and what is
-known of their outcome, holds, and whether the service answers at all; and the
-copy of the live keys that each node follows (`mirror`).
+`client` sends the requests: rate limiting, transactions and their outcomes,
+store leases, and whether the state service is reachable.  `mirror` keeps each
+node's local copy of the live keys.
 """
--- a/kelpjunction/store/client.py
+++ b/kelpjunction/store/client.py
@@ -1,8 +1,9 @@
-"""The client of the state service.
+"""Client of the state service.
 
-A transaction ends in one of four ways and its caller must treat each apart:
-applied, in conflict (certainly not applied), refused (certainly not applied),
-or unknown: no answer came, and it may have been applied or may yet be.
+A transaction ends in one of four ways, and the caller must handle each of them:
+applied, conflict (certainly not applied), refused (certainly not applied), or
+unknown (no response came, and the transaction may have been applied or may
+still be applied later).
 """
 
 import logging
@@ -23,25 +24,25 @@
 
 log = logging.getLogger("store")
 
-PAGE = 1000
-# Between two tries of a write that waits for its turn, or was refused.
+SCAN_PAGE_KEYS = 1000
+# Pause before a write that was throttled or refused is tried again.
 MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF = timedelta(milliseconds=20), timedelta(milliseconds=100)
-STATE_LOG_INTERVAL = timedelta(seconds=5)  # how often the log tells at most how the budget stands
-REPEATED_FOR = timedelta(seconds=1)
-# How often a write is sent again at the most that was refused: each try is a request.
+STATE_LOG_INTERVAL = timedelta(seconds=5)  # shortest interval between log lines about the rate limiter's state
+MAX_RETRY_DURATION = timedelta(seconds=1)  # how long a refused write is retried
+# Bounds the attempts to send one write, since each of them costs the state service a request.
 MAX_COMMIT_REQUESTS = 6
 
 
 class StoreUnavailable(Exception):
-    """The state service did not answer or refused; nothing is known from this call."""
+    """The state service did not respond or refused the request, so the call has no result."""
 
 
 class StoreLeaseExpired(Exception):
-    """A hold ended before this call."""
+    """The store lease had expired before this call."""
 
 
 class StoreReachability(Enum):
-    """Whether the state service answers this node."""
+    """Whether the state service responds to this node."""
 
     REACHABLE = "answering"
     UNREACHABLE = "silent"
@@ -57,7 +58,7 @@
 
 
 class Outcome(NamedTuple):
-    """A transaction's ending, its revision if applied, the failed guards if in conflict."""
+    """How a transaction ended: its revision if it was applied, the keys of the failed guards if in conflict."""
 
     status: CommitStatus
     revision: int = 0
@@ -65,7 +66,7 @@
 
 
 class Transaction:
-    """Guards and changes that are applied together or not at all."""
+    """Changes that are applied together, and only if every guarded key has the given version."""
 
     __slots__ = ("deletes", "guards", "leases", "purpose", "puts")
 
@@ -93,26 +94,27 @@
         return len(self.puts) + len(self.deletes)
 
     def size(self) -> int:
-        """Roughly how many bytes this takes on the wire."""
+        """Estimated size of the request, in bytes."""
         keys = sum(len(k) + 40 for k in (*self.guards, *self.puts, *self.deletes))
         return keys + sum(len(orjson.dumps(v)) for v in self.puts.values())
 
 
 def pack_next_transaction(
-    txns: list[Transaction], limits: StoreLimits, most: int
+    txns: list[Transaction], limits: StoreLimits, max_ops: int
 ) -> tuple[Transaction, list[Transaction]]:
-    """The first of these with as many of those behind it as go into one transaction; and the rest.
+    """Merge the first transaction with as many of the following ones as fit; return it and the rest.
 
-    `most` bounds its changes, `limits` all else; none is split, and only what has the same purpose goes together.
+    `max_ops` bounds the number of changes, `limits` everything else.  No transaction
+    is split, and only transactions of the same purpose are merged.
     """
     first, taken = txns[0], 1
-    most = min(most, limits.txn_ops)
+    max_ops = min(max_ops, limits.txn_ops)
     size = first.size()
     for txn in txns[1:]:
         size += txn.size()
         fits = (
             first.purpose is txn.purpose
-            and first.ops + txn.ops <= most
+            and first.ops + txn.ops <= max_ops
             and len(first.guards.keys() | txn.guards.keys()) <= limits.txn_ops * GUARDS_PER_OP
             and size <= MAX_TXN_BYTES
             and not (first.puts.keys() | first.deletes) & (txn.puts.keys() | txn.deletes)
@@ -127,17 +129,20 @@
 
 
 def pack_transactions(txns: Iterable[Transaction], limits: StoreLimits) -> list[Transaction]:
-    """These in as few transactions as the limits allow, in their order."""
-    found: list[Transaction] = []
+    """Merge neighbouring transactions as far as the limits allow, in their order."""
+    packed: list[Transaction] = []
     rest = list(txns)
     while rest:
         txn, rest = pack_next_transaction(rest, limits, limits.txn_ops)
-        found.append(txn)
-    return found
+        packed.append(txn)
+    return packed
 
 
 class StoreClient:
-    """One node's dealings with the state service."""
+    """One node's connection to the state service: reads, rate-limited transactions and store leases.
+
+    `share` is the fraction of the write rate in `limits` that this process may use.
+    """
 
     def __init__(
         self, transport: Transport, address: str, limits: StoreLimits, clock: Clock, sleep, share: float
@@ -151,28 +156,29 @@
         self._logged_state, self._state_logged_at = LimiterState.UNTHROTTLED, clock.steady()
         self.reachability = StoreReachability.REACHABLE
         self.last_response_at = clock.steady()
-        self.requests = 0  # sent since this process began
-        self.refusals = 0  # of those, answered 429
+        self.requests = 0  # sent since the process started
+        self.refusals = 0  # requests answered with status 429
 
     # -- reading ------------------------------------------------------------
 
     def get(self, key: str, timeout: timedelta = timedelta(seconds=1.5)) -> wire.Change | None:
         """A key's value and version, or None if it does not exist."""
-        reply = self._ask("GET", wire.key_path(key), None, timeout)
+        reply = self._request("GET", wire.key_path(key), None, timeout)
         if reply.status == 404:
             return None
         return self._parse(reply, wire.parse_entry)
 
     def scan(self, prefix: str) -> tuple[list[wire.Change], int]:
-        """All keys below a prefix, and a revision that none of them is older than.
+        """Read all keys below a prefix, page by page; return them and the revision to watch from.
 
-        The pages are read one after the other, so the first page's revision is
-        the one to follow from: later changes arrive once more, harmlessly.
+        The revision is that of the first page, and no page is older.  Changes
+        applied while the later pages are read are delivered once more by the
+        watch, which is harmless.
         """
         entries: list[wire.Change] = []
         after, revision = None, None
         while True:
-            reply = self._ask("GET", wire.scan_path(prefix, after, PAGE), None, timedelta(seconds=5))
+            reply = self._request("GET", wire.scan_path(prefix, after, SCAN_PAGE_KEYS), None, timedelta(seconds=5))
             page, more, read_at = self._parse(reply, wire.parse_page)
             revision = read_at if revision is None else revision
             entries.extend(page)
@@ -183,9 +189,10 @@
     def watch(
         self, prefix: str, since: int, wait: timedelta, transport: Transport
     ) -> tuple[list[wire.Change], int] | None:
-        """Changes after `since`; None if that is too long ago to tell.
+        """Wait for changes after the revision `since`; None if the state service no longer has them.
 
-        Takes a transport of its own: a watch holds its connection.
+        The caller passes a separate transport, because a watch occupies its
+        connection while it waits.
         """
         path = wire.follow_path(prefix, since, round(wait.total_seconds() * 1000))
         self.requests += 1
@@ -195,7 +202,7 @@
             raise StoreUnavailable(str(error)) from error
         if reply.status == 410:
             return None
-        return self._parse(self._checked(reply), wire.parse_news)
+        return self._parse(self._check_status(reply), wire.parse_news)
 
     # -- writing ------------------------------------------------------------
 
@@ -208,49 +215,50 @@
         timeout: timedelta = timedelta(seconds=2),
         purpose: Purpose = Purpose.CANCEL_OR_FENCE,
     ) -> Outcome:
-        """Apply a transaction, or only compare if there is nothing to change.
+        """Apply a transaction; without changes, only compare the guards.
 
-        Waits for its turn, though no longer than its purpose's patience: then
-        it is sent all the same, since only the service knows what it has room
-        for.  What was refused is sent again for a second at the most.
+        Waits for the rate limiter, but no longer than the maximum delay of its
+        purpose.  After that it is sent anyway, since only the state service
+        knows how much it can take.  A refused transaction is retried for at
+        most `MAX_RETRY_DURATION`.
         """
         deletes = tuple(deletes)
         body = wire.commit_body(guards, puts or {}, deletes, leases or {})
         ops = len(puts or {}) + len(deletes)
-        left, tries = PURPOSE_POLICIES[purpose].max_delay, 0
-        while tries < MAX_COMMIT_REQUESTS and (left > ZERO or not tries):
-            if not ops or self.try_reserve(purpose, ops) or left <= ZERO:
-                if not tries:
-                    left = REPEATED_FOR
+        time_left, refused = PURPOSE_POLICIES[purpose].max_delay, 0
+        while refused < MAX_COMMIT_REQUESTS and (time_left > ZERO or not refused):
+            if not ops or self.try_reserve(purpose, ops) or time_left <= ZERO:
+                if not refused:
+                    time_left = MAX_RETRY_DURATION
                 outcome = self._commit_once(body, timeout)
                 if outcome is not None:
                     return outcome
-                # Too many requests: it was certainly not applied.
-                tries += 1
+                # Status 429 (too many requests): the transaction was certainly not applied.
+                refused += 1
                 if ops:
                     self.rate_limiter.on_refusal(purpose, ops, self._clock.steady())
             delay = self.rate_limiter.delay(purpose, ops, self._clock.steady()) if ops else MAX_RETRY_BACKOFF
-            pause = min(max(delay, MIN_RETRY_BACKOFF * (tries + 1)), MAX_RETRY_BACKOFF)
-            left -= pause
+            pause = min(max(delay, MIN_RETRY_BACKOFF * (refused + 1)), MAX_RETRY_BACKOFF)
+            time_left -= pause
             self._sleep(pause)
         return Outcome(CommitStatus.REFUSED)
 
     def try_reserve(self, purpose: Purpose, ops: int) -> bool:
-        """Whether so many changes may be sent now; if so they count as sent."""
+        """Whether `ops` changes may be sent now; if so, they are counted as sent."""
         now = self._clock.steady()
-        may = self.rate_limiter.try_reserve(purpose, ops, now)
+        reserved = self.rate_limiter.try_reserve(purpose, ops, now)
         if self.rate_limiter.state is not self._logged_state and now - self._state_logged_at >= STATE_LOG_INTERVAL:
             self._logged_state, self._state_logged_at = self.rate_limiter.state, now
-            waits = ", ".join(p.value for p in self.rate_limiter.waiting(now)) or "nothing"
-            log.info("changes to the state service are %s; what waits: %s", self._logged_state.value, waits)
-        return may
+            waiting = ", ".join(p.value for p in self.rate_limiter.waiting(now)) or "nothing"
+            log.info("write rate limiter state is %s; purposes waiting: %s", self._logged_state.value, waiting)
+        return reserved
 
     def available_changes(self, purpose: Purpose) -> int:
-        """How many changes may be sent now, at most."""
+        """The most changes of this purpose that may be sent now."""
         return self.rate_limiter.available_changes(purpose, self._clock.steady())
 
     def try_commit(self, txn: Transaction, timeout: timedelta = timedelta(seconds=2)) -> Outcome:
-        """Send a transaction of a round once, for which `try_reserve` has made room: a round waits for nothing."""
+        """Send a round's transaction once, after `try_reserve` admitted it; no retry, since a round must not wait."""
         outcome = self._commit_once(wire.commit_body(txn.guards, txn.puts, txn.deletes, txn.leases), timeout)
         if outcome is None:
             self.rate_limiter.on_refusal(txn.purpose, txn.ops, self._clock.steady())
@@ -258,7 +266,7 @@
         return outcome
 
     def _commit_once(self, body: bytes, timeout: timedelta) -> Outcome | None:
-        """Send a transaction; None if the service had no room for the request."""
+        """Send a transaction once; None if the state service refused it with status 429."""
         self.requests += 1
         try:
             reply = self._transport.request(self._address, "POST", wire.COMMIT_PATH, body, timeout)
@@ -281,36 +289,36 @@
         if reply.status in (400, 503):
             self._update_reachability(reply.status != 503, "503")
             if reply.status == 400:
-                log.error("transaction refused: %s", reply.fields)
+                log.error("state service rejected a transaction as invalid (status 400): %s", reply.fields)
             return Outcome(CommitStatus.REFUSED)
         return Outcome(CommitStatus.UNKNOWN)
 
-    # -- holds --------------------------------------------------------------
+    # -- store leases -------------------------------------------------------
 
-    def grant_lease(self, length: timedelta) -> int:
-        """Take a hold that ends by itself unless it is extended."""
-        body = wire.lease_body(round(length.total_seconds() * 1000))
-        return self._parse(self._ask("POST", wire.STORE_LEASES_PATH, body, timedelta(seconds=2)), wire.parse_lease)
+    def grant_lease(self, duration: timedelta) -> int:
+        """Take a store lease that expires after `duration` unless it is extended; return its id."""
+        body = wire.lease_body(round(duration.total_seconds() * 1000))
+        return self._parse(self._request("POST", wire.STORE_LEASES_PATH, body, timedelta(seconds=2)), wire.parse_lease)
 
     def extend_lease(self, lease: int, timeout: timedelta) -> None:
-        """Extend a hold; raises `StoreLeaseExpired` if it has ended."""
-        reply = self._ask("POST", wire.lease_path(lease, "/extend"), b"{}", timeout)
+        """Extend a store lease; raises `StoreLeaseExpired` if it has expired."""
+        reply = self._request("POST", wire.lease_path(lease, "/extend"), b"{}", timeout)
         if reply.status == 404:
             raise StoreLeaseExpired
         self._parse(reply, lambda fields: fields)
 
-    # -- what is known of the service ---------------------------------------
+    # -- requests and reachability ------------------------------------------
 
-    def _ask(self, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
+    def _request(self, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
         self.requests += 1
         try:
             reply = self._transport.request(self._address, method, path, body, timeout)
         except NoResponse as error:
             self._update_reachability(False, str(error))
             raise StoreUnavailable(str(error)) from error
-        return self._checked(reply)
+        return self._check_status(reply)
 
-    def _checked(self, reply: Reply) -> Reply:
+    def _check_status(self, reply: Reply) -> Reply:
         if reply.status in (429, 503) or reply.status >= 500:
             self.refusals += reply.status == 429
             self._update_reachability(reply.status == 429, f"status {reply.status}")
@@ -320,18 +328,18 @@
 
     def _parse(self, reply: Reply, parser):
         if reply.status != 200:
-            raise StoreUnavailable(f"odd status {reply.status}: {reply.fields}")
+            raise StoreUnavailable(f"unexpected status {reply.status}: {reply.fields}")
         try:
             return parser(reply.fields)
         except MalformedMessage as error:
-            log.error("odd answer from the state service: %s", error)
+            log.error("malformed response from the state service: %s", error)
             raise StoreUnavailable(str(error)) from error
 
-    def _update_reachability(self, answered: bool, why: str = "") -> None:
-        """The one place where the service's state changes."""
-        if answered:
+    def _update_reachability(self, responded: bool, reason: str = "") -> None:
+        """Set `reachability` and log when it changes; nothing else sets it."""
+        if responded:
             self.last_response_at = self._clock.steady()
-        state = StoreReachability.REACHABLE if answered else StoreReachability.UNREACHABLE
+        state = StoreReachability.REACHABLE if responded else StoreReachability.UNREACHABLE
         if state is not self.reachability:
             self.reachability = state
-            log.info("state service is %s %s", state.value, why)
+            log.info("state service is %s %s", state.value, reason)
--- a/kelpjunction/store/mirror.py
+++ b/kelpjunction/store/mirror.py
@@ -1,8 +1,9 @@
-"""Each node's copy of the live keys, kept by following the state service.
+"""Mirror: each node's local copy of the live keys, kept up to date by watching the state service.
 
-The copy lags, so nothing is told to a user from it without asking the state
-service whether it still holds (`Verifier`).  A node's own commits are put in
-at once; the news of them arrives later and changes nothing.
+The copy lags behind the state service.  Before a user gets an answer from it,
+`Verifier` asks the state service whether the versions are still current.  A
+node's own commits are put in at once; the watch delivers them again later,
+which changes nothing.
 """
 
 import logging
@@ -21,12 +22,12 @@
 log = logging.getLogger("store")
 
 STALE_AFTER = timedelta(seconds=4)
-REREAD_EVERY = timedelta(seconds=60)
+FULL_READ_INTERVAL = timedelta(seconds=60)
 LIVE_PREFIX = "l/"
 
 
 class Mirror:
-    """All keys below a prefix as this process last saw them: the live keys, unless another is given."""
+    """Local copy of all keys below a prefix (by default the live keys), as this process last saw them."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         watch: timedelta = MAX_WATCH_TIMEOUT,
     ) -> None:
         self._prefix = prefix
-        self._watch = watch  # how long to wait for news
+        self._watch_timeout = watch  # how long one watch request waits for changes
         self._store = store
         self._clock = clock
         self._transport = transport
@@ -45,12 +46,12 @@
         self._deleted: dict[str, int] = {}
         self._listeners: list[tuple[str, Callable[[str, Any, int], None]]] = []
         self.revision: int | None = None
-        # A moment up to which every change is known here: `renewal` rests on it.
+        # Every change applied up to this time of the steady clock is in the mirror; `renewal` relies on it.
         self.known_until: timedelta | None = None
-        self._read_at: timedelta | None = None  # when everything was read last
+        self._read_at: timedelta | None = None  # start of the last full read
         self.on_foreign_changes: Callable[[int], None] = lambda changes: (
             None
-        )  # told how many changes others had applied
+        )  # called with the number of changes that other processes applied
 
     @property
     def loaded(self) -> bool:
@@ -58,7 +59,7 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether this node has heard the state service's news lately."""
+        """Whether the mirror was up to date with the state service less than `STALE_AFTER` ago."""
         return self.known_until is not None and self._clock.steady() - self.known_until < STALE_AFTER
 
     def listen(self, prefix: str, listener: Callable[[str, Any, int], None]) -> None:
@@ -69,7 +70,7 @@
         return self._entries.get(key)
 
     def version(self, key: str) -> int:
-        """The version to guard with; 0 if the key does not exist as far as we know."""
+        """The key's version, to guard a write with; 0 if the mirror has no such key."""
         entry = self._entries.get(key)
         return entry.version if entry else 0
 
@@ -77,46 +78,54 @@
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
     def load(self) -> None:
-        """Read everything anew."""
-        asked_at = self._clock.steady()
+        """Read all keys below the prefix into the mirror; changes newer than the read stay."""
+        requested_at = self._clock.steady()
         entries, revision = self._store.scan(self._prefix)
         present = {e.key for e in entries}
-        unlike = 0  # what was not known as it is, though its news should have come
+        mismatches = 0  # keys that differ although the watch should have delivered their change
         for key in [k for k in self._entries if k not in present]:
             if self._entries[key].version <= revision:
-                unlike += self.put(key, None, revision)
+                mismatches += self.put(key, None, revision)
         for entry in entries:
-            unlike += self.put(*entry) and self.revision is not None and entry.version <= self.revision
-        self.revision, self.known_until, self._read_at = revision, asked_at, asked_at
+            mismatches += self.put(*entry) and self.revision is not None and entry.version <= self.revision
+        self.revision, self.known_until, self._read_at = revision, requested_at, requested_at
         self._deleted = {k: v for k, v in self._deleted.items() if v > revision}
         log.info(
-            "keys below %s read: %d at revision %d, %d not as followed", self._prefix, len(entries), revision, unlike
+            "read all keys below %s: %d keys at revision %d, %d differed from the watched copy",
+            self._prefix,
+            len(entries),
+            revision,
+            mismatches,
         )
 
     def watch_once(self) -> None:
-        """Wait for the next changes and put them in; now and then compare with all that is kept.
+        """Wait for the next changes and put them in; read all keys again every `FULL_READ_INTERVAL`.
 
-        A job that no news told of would be known to no queue, and never run.
+        The full read finds changes that the watch missed.  A job whose change
+        was missed would be in no node's queue and would never run.
         """
-        asked_at = self._clock.steady()
-        if self.revision is None or asked_at - self._read_at >= REREAD_EVERY:
+        requested_at = self._clock.steady()
+        if self.revision is None or requested_at - self._read_at >= FULL_READ_INTERVAL:
             self.load()
             return
-        got = self._store.watch(self._prefix, self.revision, self._watch, self._transport)
-        if got is None:
+        response = self._store.watch(self._prefix, self.revision, self._watch_timeout, self._transport)
+        if response is None:
             self.load()
             return
-        news, revision = got
-        others = sum(self.put(*change) for change in news)
-        if others:
-            self.on_foreign_changes(others)
+        changes, revision = response
+        foreign_changes = sum(self.put(*change) for change in changes)
+        if foreign_changes:
+            self.on_foreign_changes(foreign_changes)
         self.revision = max(revision, self.revision)
-        self.known_until = asked_at
+        self.known_until = requested_at
         if self._deleted:
             self._deleted = {k: v for k, v in self._deleted.items() if v > self.revision}
 
     def put(self, key: str, value: Any, version: int) -> bool:
-        """Put in one change, own or followed, unless a newer one is known; whether it is news."""
+        """Put in one change, of this node or from the watch, unless a newer one is known.
+
+        Returns whether the mirror did not know the change yet.
+        """
         old = self._entries.get(key)
         if version <= (old.version if old else self._deleted.get(key, 0)):
             return False
@@ -126,8 +135,8 @@
             if old is None:
                 return True
         else:
-            # A deletion that is known must not be undone by older news of
-            # the key: that is what `_deleted` remembers.
+            # `_deleted` keeps the versions of known deletions, so that an
+            # older change of the key that arrives late cannot restore it.
             self._deleted.pop(key, None)
             self._entries[key] = Change(key, value, version)
         for prefix, listener in self._listeners:
@@ -136,7 +145,7 @@
         return True
 
     def refresh(self, key: str) -> None:
-        """The copy of this key lags behind the store: read it alone."""
+        """Read one key from the state service, after its copy proved to be out of date."""
         entry = self._store.get(key)
         old = self._entries.get(key)
         if entry is not None:
@@ -145,7 +154,7 @@
             self.put(key, None, old.version + 1)
 
     def put_outcome(self, puts: dict[str, Any], deletes, revision: int) -> None:
-        """Put in a transaction of our own that was applied."""
+        """Put in the changes of this node's own transaction, applied at `revision`."""
         for key, value in puts.items():
             self.put(key, value, revision)
         for key in deletes:
@@ -153,10 +162,11 @@
 
 
 class Verifier:
-    """Asks whether versions still hold, many questions in one request.
+    """Checks whether key versions are still current, many checks in one request to the state service.
 
-    A question is only answered by a request that was sent after it was asked:
-    that makes an answer from the mirror as good as a read of the store.
+    A check is only answered by a request that was sent after the check was
+    asked for.  A verified value from the mirror is therefore as current as a
+    read of the state service.  `rate` limits the requests per second.
     """
 
     def __init__(self, store: StoreClient, spawn: Callable, pause: Callable[[timedelta], None], rate: float) -> None:
@@ -164,53 +174,57 @@
         self._spawn = spawn
         self._pause = pause
         self._spacing = timedelta(seconds=1 / rate)
-        self._asked: list[tuple[dict[str, int], AsyncResult]] = []
-        self._busy = False
-        self._most = store.limits.txn_ops * GUARDS_PER_OP
+        self._pending: list[tuple[dict[str, int], AsyncResult]] = []
+        self._processing = False
+        self._max_guards = store.limits.txn_ops * GUARDS_PER_OP
 
     def versions_current(self, guards: dict[str, int], timeout: timedelta = timedelta(seconds=1.5)) -> bool:
-        """Whether each key has the given version; raises `StoreUnavailable` if that can't be told."""
+        """Whether each key has the given version.
+
+        Raises `StoreUnavailable` if the state service gives no result within `timeout`.
+        """
         answer: AsyncResult = AsyncResult()
-        asked = (guards, answer)
-        self._asked.append(asked)
-        if not self._busy:
-            self._busy = True
+        check = (guards, answer)
+        self._pending.append(check)
+        if not self._processing:
+            self._processing = True
             self._spawn(self._process_pending)
         answer.wait(timeout.total_seconds())
-        # Nobody waits for it any more.  Where more was asked than could be
-        # compared, these were answered first, and all others too late.
-        self._asked = [a for a in self._asked if a is not asked]
+        # Drop the check, since its caller no longer waits.  When checks came
+        # faster than they could be sent, abandoned ones were answered first
+        # and all others too late.
+        self._pending = [c for c in self._pending if c is not check]
         result = answer.value
         if result is None:
-            raise StoreUnavailable("versions could not be compared")
+            raise StoreUnavailable("the state service did not confirm the key versions")
         return result
 
     def _process_pending(self) -> None:
         try:
-            while self._asked:
-                self._answer_some()
-                # What is asked meanwhile shares the next request.
+            while self._pending:
+                self._answer_batch()
+                # Checks that arrive during the pause share the next request.
                 self._pause(self._spacing)
         finally:
-            self._busy = False
+            self._processing = False
 
-    def _answer_some(self) -> None:
+    def _answer_batch(self) -> None:
         batch: list[tuple[dict[str, int], AsyncResult]] = []
         guards: dict[str, int] = {}
-        later: list[tuple[dict[str, int], AsyncResult]] = []
-        for asked in self._asked:
-            versions, _ = asked
+        deferred: list[tuple[dict[str, int], AsyncResult]] = []
+        for check in self._pending:
+            versions, _ = check
             clash = any(guards.get(k, v) != v for k, v in versions.items())
-            if clash or len(guards) + len(versions) > self._most:
-                later.append(asked)
+            if clash or len(guards) + len(versions) > self._max_guards:
+                deferred.append(check)
             else:
                 guards |= versions
-                batch.append(asked)
-        self._asked = later
+                batch.append(check)
+        self._pending = deferred
         while batch:
             outcome = self._store.commit(guards, timeout=timedelta(seconds=1.5))
             if outcome.status is CommitStatus.CONFLICT and outcome.failed:
-                # Only a request that compared equal vouches for the others.
+                # A conflict confirms none of the other versions: only a request without conflict does.
                 failed = set(outcome.failed)
                 for versions, answer in batch:
                     if failed & versions.keys():
@@ -218,7 +232,7 @@
                 batch = [b for b in batch if not b[1].ready()]
                 guards = {k: v for versions, _ in batch for k, v in versions.items()}
                 continue
-            verdict = True if outcome.status is CommitStatus.APPLIED else None
+            result = True if outcome.status is CommitStatus.APPLIED else None
             for _, answer in batch:
-                answer.set(verdict)
+                answer.set(result)
             return
