--- a/kelpjunction/intake/__init__.py
+++ b/kelpjunction/intake/__init__.py
@@ -1,8 +1,8 @@
-"""Users: submit, status, abort, health.
+"""User requests: submit, status, abort and health.
 
-Owns what this node remembers of ended jobs.  Any node serves any user: what
-is told comes from the state service, or from this node's mirror after the
-state service has confirmed that it still holds.
+Owns this node's cache of ended jobs.  Any node serves any user.  An answer comes
+from the state service, or from this node's mirror after the state service has
+confirmed that the version is still current.
 """
 
 import logging
@@ -31,46 +31,47 @@
 ENDED_JOB_CACHE_LIMIT = 20_000
 RETRY_AFTER = timedelta(seconds=1)
 TRIES = 4
-# Then a write's outcome is read: a user gives a request up after 5 s, and answers come within some 100 ms.
+# After this the write's outcome is read instead: users give up a request after 5 s, and the state service
+# normally responds within about 100 ms.
 COMMIT_RESPONSE_TIMEOUT = timedelta(seconds=1.5)
 
 
 class UserResponse(NamedTuple):
-    """What a user gets."""
+    """HTTP response to a user; `retry_after` becomes the Retry-After header."""
 
     status: int
     body: bytes
     retry_after: timedelta | None = None
 
 
-def unavailable_response(why: str) -> UserResponse:
-    """The request can't be decided now: say so at once, and when to come back."""
-    return UserResponse(503, wire.error_answer(why), RETRY_AFTER)
+def unavailable_response(reason: str) -> UserResponse:
+    """A 503 for a request that cannot be decided now, with the time after which to retry."""
+    return UserResponse(503, wire.error_answer(reason), RETRY_AFTER)
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Mapping[str, MachineType], teams: Mapping[str, Team]) -> str | None:
-    """Why a job can never run, or None."""
+    """The reason why a job can never run, or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
     if not any(type_fits(spec, t) for t in catalog.values()):
         return "a task fits no allowed machine type"
-    at_once = 1 if spec.shape is Shape.ARRAY else spec.tasks
-    if over_limit(team, spec.cpus, spec.gpus, at_once):
+    simultaneous_tasks = 1 if spec.shape is Shape.ARRAY else spec.tasks
+    if over_limit(team, spec.cpus, spec.gpus, simultaneous_tasks):
         return f"the job needs more than the limit of team {spec.team}"
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class CancellationConfirmed(Event):
-    """A user was told that a job is cancelled; `version` is of the record that says so."""
+    """Recorded when a user is told that a job is cancelled; `version` is that of the job record that says so."""
 
     job: str
     version: int
 
 
 class Intake:
-    """What users can ask of this node."""
+    """Handles the requests of users on this node."""
 
     def __init__(
         self,
@@ -91,7 +92,7 @@
         self._job_index = job_index
         self._fleet = fleet
         self._clock = clock
-        self._ended: OrderedDict[str, JobPhase] = OrderedDict()
+        self._ended_jobs: OrderedDict[str, JobPhase] = OrderedDict()
         self.sibling_has_fresh_mirror = False
 
     # -- submit -------------------------------------------------------------
@@ -112,13 +113,13 @@
             return UserResponse(400, wire.error_answer("ref must look like j-000412"))
         if not self._mirror.loaded:
             return unavailable_response("this node is starting")
-        refusal = self._refusal(fields)
+        refusal = self._validate(fields)
         if refusal is not None:
-            # A repeat of a job that is known is never refused.
-            known = self._find(ref)
+            # A repeated submission of a known job is never refused.
+            known = self._find_job(ref)
             return refusal if known is None else known
-        if ref in self._ended or self._mirror.get(JOB_PREFIX + ref) is not None:
-            known = self._find(ref)
+        if ref in self._ended_jobs or self._mirror.get(JOB_PREFIX + ref) is not None:
+            known = self._find_job(ref)
             if known is not None:
                 return known
         record = job_record(wire.fields_to_keep(fields), self._clock.utc())
@@ -130,16 +131,16 @@
             self._mirror.put(key, record, outcome.revision)
             return UserResponse(201, wire.job_answer(ref, JobPhase.QUEUED))
         if outcome.status in (CommitStatus.CONFLICT, CommitStatus.UNKNOWN):
-            # Without an answer only a read tells whether it was carried out.
-            known = self._find(ref)
+            # Without a response, only a read shows whether the write was applied.
+            known = self._find_job(ref)
             if known is not None:
                 return known
-        # Refused, or not carried out yet: if it is after all, the user's
-        # retry finds the job and gets 200.
+        # The write was refused or has not been applied yet.  If it is applied
+        # later, the user's retry finds the job and gets 200.
         return unavailable_response("the state service did not confirm the job")
 
-    def _refusal(self, fields: dict) -> UserResponse | None:
-        """Why the job can't be taken, or None."""
+    def _validate(self, fields: dict) -> UserResponse | None:
+        """The response that refuses the job, or None if the job is acceptable."""
         try:
             spec = wire.parse_job(fields)
         except MalformedMessage as error:
@@ -147,8 +148,8 @@
         catalog = self._fleet.catalog
         if not catalog:
             return unavailable_response("the machine types are not known yet")
-        why = infeasibility_reason(spec, catalog, self._teams)
-        return None if why is None else UserResponse(422, wire.error_answer(why))
+        reason = infeasibility_reason(spec, catalog, self._teams)
+        return None if reason is None else UserResponse(422, wire.error_answer(reason))
 
     # -- status -------------------------------------------------------------
 
@@ -158,25 +159,28 @@
         if not self._mirror.loaded:
             return unavailable_response("this node is starting")
         try:
-            return self._find(ref) or UserResponse(404, wire.error_answer("no such job"))
+            return self._find_job(ref) or UserResponse(404, wire.error_answer("no such job"))
         except StoreUnavailable as error:
             return unavailable_response(f"the state service does not answer: {error}")
 
-    def _find(self, ref: str) -> UserResponse | None:
-        """How a job stands, no older than what any node has told; None if it was never accepted."""
+    def _find_job(self, ref: str) -> UserResponse | None:
+        """The job's status; None if the job was never accepted.
+
+        The status is never older than one that any node has already given to a user.
+        """
         key, end_key = JOB_PREFIX + ref, END_PREFIX + ref
         for _ in range(TRIES):
-            if ref in self._ended:
-                self._ended.move_to_end(ref)
-                return UserResponse(200, wire.job_answer(ref, self._ended[ref]))
+            if ref in self._ended_jobs:
+                self._ended_jobs.move_to_end(ref)
+                return UserResponse(200, wire.job_answer(ref, self._ended_jobs[ref]))
             entry = self._mirror.get(key)
             if entry is not None:
-                # A cancellation is never taken back, so it needs no asking.
+                # A cancellation is final, so its version need not be verified.
                 if not entry.value.get("cancelled") and not self._verifier.versions_current({key: entry.version}):
                     self._mirror.refresh(key)
                 elif (job := self._job_index.jobs.get(ref)) is not None:
                     return UserResponse(200, wire.job_answer(ref, job.phase(), job.done_count(), job.placed_count()))
-                # Else it ended while this node was asking.
+                # Otherwise the job ended during the verification.
                 continue
             end = self._store.get(end_key)
             if end is not None:
@@ -188,10 +192,10 @@
         raise StoreUnavailable("the job's record kept changing")
 
     def remember(self, ref: str, end: str) -> None:
-        """Keep a final answer; it never changes."""
-        self._ended[ref] = JobPhase.DONE if end == "done" else JobPhase.CANCELLED
-        if len(self._ended) > ENDED_JOB_CACHE_LIMIT:
-            self._ended.popitem(last=False)
+        """Cache how a job ended, which never changes."""
+        self._ended_jobs[ref] = JobPhase.DONE if end == "done" else JobPhase.CANCELLED
+        if len(self._ended_jobs) > ENDED_JOB_CACHE_LIMIT:
+            self._ended_jobs.popitem(last=False)
 
     # -- abort --------------------------------------------------------------
 
@@ -210,11 +214,11 @@
         for _ in range(TRIES):
             entry = self._mirror.get(key)
             if entry is None:
-                known = self._find(ref)
+                known = self._find_job(ref)
                 if known is None:
                     return UserResponse(404, wire.error_answer("no such job"))
-                if ref in self._ended:
-                    return UserResponse(200, wire.job_answer(ref, self._ended[ref]))
+                if ref in self._ended_jobs:
+                    return UserResponse(200, wire.job_answer(ref, self._ended_jobs[ref]))
                 continue
             if entry.value.get("cancelled"):
                 return self._confirm(ref, entry.version)
@@ -222,18 +226,18 @@
             outcome = self._store.commit({key: entry.version}, {key: record}, timeout=COMMIT_RESPONSE_TIMEOUT)
             if outcome.status is CommitStatus.APPLIED:
                 self._mirror.put(key, record, outcome.revision)
-                log.info("job %s is cancelled by its user", ref)
+                log.info("job %s was cancelled by its user", ref)
                 return self._confirm(ref, outcome.revision)
             if outcome.status is CommitStatus.REFUSED:
                 break
-            # In conflict, or without an answer: how it stands now is read, and told if that is final.
+            # After a conflict or without a response: read the record again, and answer if it is final.
             self._mirror.refresh(key)
             if outcome.status is CommitStatus.UNKNOWN and self._mirror.version(key) == entry.version:
-                break  # not carried out yet; written again it would take the user's patience
+                break  # not applied yet; a second write could exceed the time that the user waits
         return unavailable_response("the cancellation could not be confirmed")
 
     def _confirm(self, ref: str, version: int) -> UserResponse:
-        """Tell a user that the job is cancelled, as its record at this version says."""
+        """Record and return the answer that the job is cancelled, according to its record at this version."""
         self._recorder.record(CancellationConfirmed(ref, version))
         return UserResponse(200, wire.job_answer(ref, JobPhase.CANCELLED))
 
@@ -241,13 +245,15 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether this node has heard the state service's news lately."""
+        """Whether this node's mirror is fresh."""
         return self._mirror.fresh
 
     def healthy(self) -> bool:
-        """Not healthy while starting, nor while this node alone is out of touch.
+        """Whether this node should receive requests.
 
-        In an outage that everybody has, leaving would only cost minutes of
-        doubled pauses afterwards.
+        It is unhealthy while it starts, and while its mirror is stale although
+        a sibling's is fresh.  In an outage that affects all nodes it stays
+        healthy: leaving the load balancer would only cost minutes of doubled
+        pauses after the outage.
         """
         return self._mirror.loaded and (self.fresh or not self.sibling_has_fresh_mirror)
