--- a/kelpjunction/fleet/cloud.py
+++ b/kelpjunction/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: its catalog, its machine list, renting and returning."""
+"""The leader's calls to the cloud: reading the catalog and the machine list, renting and returning machines."""
 
 import logging
 import math
@@ -9,7 +9,7 @@
 from kelpjunction.clock import ZERO, Clock, seconds
 from kelpjunction.fleet.demand import CapacityRequest, Offer, Request, plan_rentals
 from kelpjunction.fleet.machines import Inventory, Machine, MachineState
-from kelpjunction.fleet.rental_record import CLOUD_KEY, NAME_BYTES
+from kelpjunction.fleet.rental_record import CLOUD_KEY, MACHINE_NAME_BYTES
 from kelpjunction.jobs.failure_attribution import FailureAttribution
 from kelpjunction.jobs.job_index import Job, JobIndex
 from kelpjunction.leadership import LEADER_KEY, LeaderTerm
@@ -29,20 +29,20 @@
 CATALOG_KEY = "l/catalog"
 CLOUD_TIMEOUT = timedelta(seconds=5)
 REFUSED_OFFER_BACKOFF = timedelta(seconds=20)
-CATALOG_EVERY = timedelta(seconds=60)
-MINIMUM_CHARGE = timedelta(seconds=60)
-LOOK_EVERY = timedelta(seconds=1)  # pause between two looks at all machines; what is judged there takes tens of seconds
-TOLD_EVERY = timedelta(seconds=1)  # how long what was settled with the cloud may go untold if nobody waits for it
-CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=5)  # how long work that no objective names waits for cheap room
-LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=2)  # the largest of it, which is to begin within four minutes
+CATALOG_REFRESH_INTERVAL = timedelta(seconds=60)
+MINIMUM_BILLED_TIME = timedelta(seconds=60)
+MACHINE_CHECK_INTERVAL = timedelta(seconds=1)  # between checks of all machines, whose limits are tens of seconds
+RECORD_WRITE_INTERVAL = timedelta(seconds=1)  # for settled requests and gone machines that nothing waits for
+CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=5)  # for opportunistic array jobs
+LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT = timedelta(minutes=2)  # large jobs are to start within 4 min
 
 
 class CloudUnavailable(Exception):
-    """The cloud did not answer or would not; its outcome is unknown."""
+    """A cloud call got no response or an unusable one, so its outcome is unknown."""
 
 
 class Fleet:
-    """The leader's machines and its dealings with the cloud."""
+    """Rents and returns machines on the leader, and serves the catalog and price limits on every node."""
 
     def __init__(
         self,
@@ -68,30 +68,30 @@
         self._transport = transport
         self._clock = clock
         self._sleep = sleep
-        self._spacing = seconds(1.25 / platform.cloud.rps)
-        self._called_at = clock.steady() - self._spacing
+        self._call_interval = seconds(1.25 / platform.cloud.rps)
+        self._last_call_at = clock.steady() - self._call_interval
         self._leader_term: LeaderTerm | None = None
-        self._term, self._began = 0, ZERO
-        self._requests = 0
-        self._refused: dict[Offer, timedelta] = {}
-        self._settled: set[str] = set()  # requests that were answered, and not yet crossed out
-        self._gone: list[str] = []  # machines confirmed as gone, and not yet told
-        self._told_at = ZERO
-        # A quarter of the page each for what was asked back and for what is gone.
-        self._names = max(1, platform.store.value_bytes // 4 // NAME_BYTES)
-        self._catalog_at: timedelta | None = None
-        self._listed_at: timedelta | None = None
-        self._looked_at: timedelta | None = None
+        self._term, self._term_started_at = 0, ZERO
+        self._request_count = 0
+        self._refused_until: dict[Offer, timedelta] = {}
+        self._settled_requests: set[str] = set()  # answered requests that the rental record still lists
+        self._unrecorded_gone: list[str] = []  # machines confirmed as gone, not yet in the rental record
+        self._record_written_at = ZERO
+        # Names of pending returns and of gone machines may each fill a quarter of the record.
+        self._max_names = max(1, platform.store.value_bytes // 4 // MACHINE_NAME_BYTES)
+        self._catalog_read_at: timedelta | None = None
+        self._machines_listed_at: timedelta | None = None
+        self._machines_checked_at: timedelta | None = None
         self.large_jobs = LargeJobs(platform.teams)
         self.capacity_requests: list[CapacityRequest] = []
         self._accelerator_specs_seen: dict[tuple, tuple[JobSpec, timedelta]] = {}
         self._accelerated_jobs_seen: set[str] = set()
-        self._accelerator_specs_at = ZERO
-        self.recent_accelerator_specs: list[JobSpec] = []  # examples of the work that needs accelerators, of late
-        self._wanted: deque[tuple[timedelta, Counter]] = deque()
-        self._trouble = False
-        self._parsed: tuple[int, dict[str, MachineType]] = (0, {})
-        self._cheapest: tuple[dict[str, MachineType], dict[tuple, float]] = ({}, {})
+        self._accelerator_specs_noted_at = ZERO
+        self.recent_accelerator_specs: list[JobSpec] = []  # one recent spec per distinct need
+        self._accelerator_demand_history: deque[tuple[timedelta, Counter]] = deque()
+        self._cloud_unavailable = False
+        self._parsed_catalog: tuple[int, dict[str, MachineType]] = (0, {})
+        self._lowest_prices: tuple[dict[str, MachineType], dict[tuple, float]] = ({}, {})
 
     @property
     def machines(self) -> dict[str, Machine]:
@@ -101,106 +101,108 @@
 
     @property
     def catalog(self) -> dict[str, MachineType]:
-        """The machine types, as the leader last read them; empty if unknown yet."""
+        """The machine types by name, as the leader last read them; empty until the first read."""
         entry = self._mirror.get(CATALOG_KEY)
         if entry is None:
             return {}
-        if self._parsed[0] != entry.version:
-            self._parsed = (entry.version, wire.parse_catalog(entry.value))
-        return self._parsed[1]
+        if self._parsed_catalog[0] != entry.version:
+            self._parsed_catalog = (entry.version, wire.parse_catalog(entry.value))
+        return self._parsed_catalog[1]
 
     def price_limit(self, job: Job, spare: bool = False) -> PriceLimit:
-        """What may be paid for a job's room.
+        """Return what may be paid for a job's capacity.
 
-        Several times the least only if an objective names its class and its
-        team is no guest, or if it has waited so long that there may be no
-        cheap room at all.
+        An opportunistic job (an array whose class has no objective or whose
+        team has no guarantee) may use expensive capacity only once it has
+        waited for the limit: there may be no cheap capacity at all then.  With
+        `spare`, capacity that is only kept free must be cheap.
         """
         spec = job.spec
         self.large_jobs.note([spec])
-        patience = (
+        wait_limit = (
             LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT
             if self.large_jobs.is_large(spec) and not self._preemption_policy.without_guarantee(spec)
             else CHEAP_CAPACITY_WAIT_LIMIT
         )
         cheap_only = spare or (
-            self._preemption_policy.is_opportunistic(spec) and self._clock.utc() - job.submitted < patience
+            self._preemption_policy.is_opportunistic(spec) and self._clock.utc() - job.submitted < wait_limit
         )
         key = spec.needs
         catalog = self.catalog
-        if self._cheapest[0] is not catalog:
-            self._cheapest = (catalog, {})
-        known = self._cheapest[1]
+        if self._lowest_prices[0] is not catalog:
+            self._lowest_prices = (catalog, {})
+        known = self._lowest_prices[1]
         if key not in known:
             known[key] = lowest_hourly_price_per_task(spec, catalog.values())
         return PriceLimit(known[key], cheap_only)
 
     def capacity_request(self, job: Job, tasks: int) -> CapacityRequest:
-        """Room that a job lacks, as it is to be rented.
+        """Return the request to rent capacity for `tasks` tasks of a job that lack it.
 
-        An array that may use spot machines gives them time to come back before
-        dear ones are rented for it: by when those are up, most of what it
-        waits for has come free.
+        An array that may use spot machines first waits twice the longest boot
+        time for them to be offered again, before expensive ones are rented.
+        By the time expensive machines have booted, most of the capacity that
+        it waits for has become free.
         """
         waited = self._clock.utc() - job.submitted
         boots = [t.boot for t in self.catalog.values() if type_fits(job.spec, t)]
         patient = job.spec.shape is Shape.ARRAY and job.spec.spot and waited < 2 * max(boots, default=ZERO)
         return CapacityRequest(job.spec, tasks, self.price_limit(job), patient)
 
-    # -- a reign ------------------------------------------------------------
+    # -- leader term --------------------------------------------------------
 
     def begin(self, leader_term: LeaderTerm | None) -> None:
-        """Start a reign from the records, or end one."""
+        """Start a leader term with fresh state, or end the term (None)."""
         self._leader_term = leader_term
         if leader_term is None:
             return
-        # Kept past the reign's end: a step may be waiting for an answer then.
-        self._term, self._began = leader_term.term, leader_term.started_at
-        self._requests = 0
-        self._settled, self._gone = set(), []
-        self._refused, self._accelerator_specs_seen, self.recent_accelerator_specs = {}, {}, []
+        # Kept after the term ends: a round may still be waiting for a response then.
+        self._term, self._term_started_at = leader_term.term, leader_term.started_at
+        self._request_count = 0
+        self._settled_requests, self._unrecorded_gone = set(), []
+        self._refused_until, self._accelerator_specs_seen, self.recent_accelerator_specs = {}, {}, []
         self._accelerated_jobs_seen = set()
-        self._listed_at = self._catalog_at = self._looked_at = None
-        self._wanted.clear()
+        self._machines_listed_at = self._catalog_read_at = self._machines_checked_at = None
+        self._accelerator_demand_history.clear()
 
-    # -- one step -----------------------------------------------------------
+    # -- one round ----------------------------------------------------------
 
     def run_once(self) -> None:
-        """Do what is due with the cloud, most urgent first."""
+        """Make the cloud calls that are due, most urgent first."""
         if self._leader_term is None or not self._mirror.loaded:
             return
         try:
             now = self._clock.steady()
-            if self._catalog_at is None or now - self._catalog_at > CATALOG_EVERY:
+            if self._catalog_read_at is None or now - self._catalog_read_at > CATALOG_REFRESH_INTERVAL:
                 self._read_catalog()
-            if self._looked_at is None or now - self._looked_at >= LOOK_EVERY:
-                self._looked_at = now
-                self._drop_unbooted()
-                self._note_idle(now)
-            self._return_some()
-            if self._listed_at is None or now - self._listed_at > self._platform.cloud.list_lag / 2:
+            if self._machines_checked_at is None or now - self._machines_checked_at >= MACHINE_CHECK_INTERVAL:
+                self._machines_checked_at = now
+                self._return_unbooted_machines()
+                self._return_idle_machines(now)
+            self._return_machines()
+            if self._machines_listed_at is None or now - self._machines_listed_at > self._platform.cloud.list_lag / 2:
                 self._read_list()
             if self._store.reachability is StoreReachability.REACHABLE:
-                # Without it no intent can be written down or crossed out:
-                # the cloud's few calls are left to what can be done.
-                self._repeat_requests()
-                self._rent_some()
-                if self._clock.steady() - self._told_at >= TOLD_EVERY:
+                # Without the state service no request can be recorded or
+                # removed, so the few cloud calls go to reading and returning.
+                self._retry_pending_rentals()
+                self._rent_machines()
+                if self._clock.steady() - self._record_written_at >= RECORD_WRITE_INTERVAL:
                     self._write_rental_record()
-            self._note_trouble(False)
+            self._note_cloud_status(False)
         except CloudUnavailable as error:
-            self._note_trouble(True, str(error))
+            self._note_cloud_status(True, str(error))
 
-    def _note_trouble(self, trouble: bool, reason: str = "its calls are answered again") -> None:
-        if trouble is not self._trouble:
-            self._trouble = trouble
-            log.info("cloud %s: %s", "has trouble" if trouble else "is back", reason)
+    def _note_cloud_status(self, unavailable: bool, reason: str = "its calls succeed again") -> None:
+        if unavailable is not self._cloud_unavailable:
+            self._cloud_unavailable = unavailable
+            log.info("cloud %s: %s", "is unavailable" if unavailable else "is available again", reason)
 
     def _call(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        wait = self._called_at + self._spacing - self._clock.steady()
+        wait = self._last_call_at + self._call_interval - self._clock.steady()
         if wait > ZERO:
             self._sleep(wait)
-        self._called_at = self._clock.steady()
+        self._last_call_at = self._clock.steady()
         try:
             reply = self._transport.request(self._platform.cloud_address, method, path, body, CLOUD_TIMEOUT)
         except NoResponse as error:
@@ -217,10 +219,10 @@
             wire.parse_catalog(reply.fields)
         except MalformedMessage as error:
             raise CloudUnavailable(str(error)) from error
-        self._catalog_at = self._clock.steady()
+        self._catalog_read_at = self._clock.steady()
         old = self._mirror.get(CATALOG_KEY)
         if old is None or old.value != reply.fields:
-            # Without it no job is taken.
+            # Jobs are refused until the catalog is stored, so the write has a submission's urgency.
             self._write(CATALOG_KEY, reply.fields, Purpose.SUBMIT)
 
     def _read_list(self) -> None:
@@ -235,59 +237,62 @@
             if not more or not page:
                 break
             after = page[-1].machine
-        now = self._listed_at = self._clock.steady()
+        now = self._machines_listed_at = self._clock.steady()
         for entry in listed.values():
             if self._inventory.gone(entry.machine):
-                continue  # the list lags
+                continue  # the cloud's list lags behind its returns
             machine = self._inventory.adopt(entry.machine, entry.type, entry.zone, entry.spot, entry.address)
             machine.rented_at = min(machine.rented_at, now - entry.age)
             if entry.state == "failed" and machine.state is not MachineState.RETURNING:
-                machine.become(MachineState.RETURNING, now, "it failed")
+                machine.become(MachineState.RETURNING, now, "the cloud lists it as failed")
 
-    def _drop_unbooted(self) -> None:
-        """Let go machines that never came up."""
+    def _return_unbooted_machines(self) -> None:
+        """Mark machines for return that did not boot in time."""
         now = self._clock.steady()
-        if now - self._began < seconds(15):
+        if now - self._term_started_at < seconds(15):
             return
         for machine in self.machines.values():
             if machine.state is MachineState.BOOTING:
                 type_ = self.catalog.get(machine.type)
                 boot = type_.boot if type_ else seconds(60)
                 if now - machine.rented_at > boot * 3 + seconds(20):
-                    machine.become(MachineState.RETURNING, now, "it never came up")
+                    machine.become(MachineState.RETURNING, now, "it did not boot in time")
 
     # -- returning ----------------------------------------------------------
 
-    def _return_some(self) -> None:
-        untold = set(self._gone)
-        names = [m.name for m in self.machines.values() if m.state is MachineState.RETURNING and m.name not in untold]
-        known, asked = self.machines, self._inventory.rental_record.pending_returns
-        # What an earlier leader asked back and this node never heard of: it must not stay asked for ever.
-        names += [n for n in asked if n not in known and n not in untold and not self._inventory.gone(n)]
-        names = names[: min(wire.MAX_RETURN, self._names)]
+    def _return_machines(self) -> None:
+        unrecorded = set(self._unrecorded_gone)
+        names = [
+            m.name for m in self.machines.values() if m.state is MachineState.RETURNING and m.name not in unrecorded
+        ]
+        known, pending = self.machines, self._inventory.rental_record.pending_returns
+        # Returns recorded by an earlier leader, of machines unknown to this node, must be completed too.
+        # Otherwise they would stay pending.
+        names += [n for n in pending if n not in known and n not in unrecorded and not self._inventory.gone(n)]
+        names = names[: min(wire.MAX_RETURN, self._max_names)]
         if not names:
             return
-        # Written down first: a return may be carried out late, and the next
+        # Recorded first: the cloud may carry out a return late, and the next
         # leader must not count on the machine.
-        new = [name for name in names if name not in asked]
-        room = self._names - len(asked)
-        if room < len(new):
-            names = [name for name in names if name in asked or name in new[:room]]
-            new = new[: max(0, room)]
-        if not names or (new and not self._write_rental_record(back=new)):
+        new_returns = [name for name in names if name not in pending]
+        free_slots = self._max_names - len(pending)
+        if free_slots < len(new_returns):
+            names = [name for name in names if name in pending or name in new_returns[:free_slots]]
+            new_returns = new_returns[: max(0, free_slots)]
+        if not names or (new_returns and not self._write_rental_record(back=new_returns)):
             return
         self._call("POST", wire.RETURN_PATH, wire.return_body(names))
-        self._gone += names
+        self._unrecorded_gone += names
         if any(name in self._job_index.loads for name in names):
-            self._write_rental_record()  # what stood there starts elsewhere as soon as its holder knows
+            self._write_rental_record()  # once the holder knows, its tasks can start elsewhere
 
-    def _note_idle(self, now: timedelta) -> None:
-        """Mark idle machines, and let go those that cost more than they are worth."""
+    def _return_idle_machines(self, now: timedelta) -> None:
+        """Track how long machines are idle; mark surplus idle machines and empty faulty ones for return."""
         catalog = self.catalog
         needed = self._gpu_machines_needed(now)
-        have = Counter(m.type for m in self._live() if not m.spot)
-        spare = self._room() - self._room_wanted()
-        over = self._surplus_machines()
+        on_demand_counts = Counter(m.type for m in self._live_machines() if not m.spot)
+        spare_cpus = self._cpu_supply() - self._cpu_target()
+        surplus = self._surplus_machines()
         for machine in self.machines.values():
             if machine.name in self._job_index.loads:
                 machine.idle_since = None
@@ -300,63 +305,68 @@
             if machine.state is not MachineState.UP or type_ is None:
                 continue
             idle = now - machine.idle_since
-            if idle <= self._operators.idle_return or now - machine.rented_at <= MINIMUM_CHARGE:
+            if idle <= self._operators.idle_return or now - machine.rented_at <= MINIMUM_BILLED_TIME:
                 continue
-            if not self.plain_types and over[machine.spot] < 1:
-                continue  # it would be rented again at once
-            if type_.gpus and not machine.spot and have[type_.name] <= needed.get(type_.name, 0):
+            if not self.plain_types and surplus[machine.spot] < 1:
+                continue  # it would be rented again immediately
+            if type_.gpus and not machine.spot and on_demand_counts[type_.name] <= needed.get(type_.name, 0):
                 continue
-            if type_.gpus or spare >= type_.cpus:
+            if type_.gpus or spare_cpus >= type_.cpus:
                 machine.become(MachineState.RETURNING, now, f"idle for {idle.total_seconds():.0f} s")
-                have[type_.name] -= not machine.spot
-                over[machine.spot] -= 1
-                spare -= type_.cpus
+                on_demand_counts[type_.name] -= not machine.spot
+                surplus[machine.spot] -= 1
+                spare_cpus -= type_.cpus
 
     def _gpu_machines_needed(self, now: timedelta) -> dict[str, float]:
-        """How many accelerator machines of each type to have: those boot too slowly to come and go with each job.
+        """Return how many on-demand accelerator machines of each type to keep.
 
-        As many as the unfinished work at its peak of late; all of them while
-        this node has not watched for long enough to know.
+        They boot too slowly to be rented and returned with each job.  The
+        number covers the peak of the unfinished work within the peak demand
+        window.  All are kept (infinity) until the term has lasted that long,
+        except types without demand once accelerator work has been seen.
         """
         wanted: Counter = Counter()
         for job in map(self._job_index.jobs.__getitem__, self._job_index.accelerated):
             for type_ in self.catalog.values():
                 if not job.spec.spot and type_fits(job.spec, type_):
-                    # Small tasks share a box; what may use spot boxes has those.
+                    # Small tasks share a machine.  Jobs that may use spot machines are left to those.
                     wanted[type_.name] += (job.spec.tasks - job.done_count()) / tasks_per_machine(job.spec, type_)
-        self._wanted.append((now, wanted))
-        while now - self._wanted[0][0] > self._operators.peak_demand_window:
-            self._wanted.popleft()
+        self._accelerator_demand_history.append((now, wanted))
+        while now - self._accelerator_demand_history[0][0] > self._operators.peak_demand_window:
+            self._accelerator_demand_history.popleft()
         peak: Counter = Counter()
-        for _, wanted in self._wanted:
+        for _, wanted in self._accelerator_demand_history:
             peak |= wanted
-        watched = now - self._began >= self._operators.peak_demand_window
+        watched = now - self._term_started_at >= self._operators.peak_demand_window
         return {
             n: peak[n] if watched or (not peak[n] and self.recent_accelerator_specs) else math.inf for n in self.catalog
         }
 
     def _surplus_machines(self) -> Counter:
-        """How many boxes there are beyond those wanted, spot ones and others, where all have accelerators.
+        """Count surplus machines, by whether they are spot, for a catalog where all types have accelerators.
 
-        Spare room is reckoned in boxes then: a share of the processors of
-        boxes whose accelerators are all taken is no room.
+        Spare capacity is counted in whole machines then: free CPUs are of no
+        use on a machine whose accelerators are all taken.
         """
-        over: Counter = Counter(m.spot for m in self._live())
-        share = 1 + self._operators.spare_gpu_machine_ratio
+        surplus: Counter = Counter(m.spot for m in self._live_machines())
+        spare_factor = 1 + self._operators.spare_gpu_machine_ratio
         for job in self._job_index.jobs.values():
             if not job.cancelled and not self._failure_attribution.is_failing_job(job):
                 slots = max(
                     (tasks_per_machine(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t)), default=1
                 )
-                over[job.spec.spot] -= (job.spec.tasks - job.done_count()) / slots * share
-        return over
+                surplus[job.spec.spot] -= (job.spec.tasks - job.done_count()) / slots * spare_factor
+        return surplus
 
     def note_accelerator_specs(self) -> None:
-        """Remember which work needs accelerators: its machines boot too slowly to come and go."""
+        """Remember the specs of recent jobs that need accelerators: their machines boot too slowly to rent per job."""
         now = self._clock.steady()
-        if self._job_index.accelerated == self._accelerated_jobs_seen and now - self._accelerator_specs_at < LOOK_EVERY:
+        if (
+            self._job_index.accelerated == self._accelerated_jobs_seen
+            and now - self._accelerator_specs_noted_at < MACHINE_CHECK_INTERVAL
+        ):
             return
-        self._accelerated_jobs_seen, self._accelerator_specs_at = set(self._job_index.accelerated), now
+        self._accelerated_jobs_seen, self._accelerator_specs_noted_at = set(self._job_index.accelerated), now
         for spec in (self._job_index.jobs[ref].spec for ref in self._job_index.accelerated):
             self._accelerator_specs_seen[spec.types, spec.zone, spec.cpus, spec.gpus, spec.memory] = (spec, now)
         self._accelerator_specs_seen = {
@@ -368,54 +378,56 @@
 
     @property
     def plain_types(self) -> bool:
-        """Whether there are machines without accelerators at all."""
+        """Whether the catalog has machine types without accelerators."""
         return any(t.gpus == 0 for t in self.catalog.values())
 
-    def _live(self) -> list[Machine]:
+    def _live_machines(self) -> list[Machine]:
         return [m for m in self.machines.values() if m.state in (MachineState.BOOTING, MachineState.UP)]
 
-    def _room(self) -> float:
-        """CPUs that are there or on their way."""
+    def _cpu_supply(self) -> float:
+        """CPUs of machines that are up or booting."""
         catalog = self.catalog
-        counts = Counter(m.type for m in self._live())
+        counts = Counter(m.type for m in self._live_machines())
         return sum(catalog[name].cpus * count for name, count in counts.items() if name in catalog)
 
-    def _room_wanted(self) -> float:
-        """CPUs to have: what is in use or waits, and a share to spare."""
-        used = sum(
+    def _cpu_target(self) -> float:
+        """CPUs to have: those of all unfinished tasks, plus the spare share."""
+        unfinished = sum(
             (job.spec.tasks - job.done_count()) * job.spec.cpus
             for job in self._job_index.jobs.values()
             if not job.cancelled and not self._failure_attribution.is_failing_job(job)
         )
-        return used * (1 + self._operators.spare_share)
+        return unfinished * (1 + self._operators.spare_share)
 
     # -- renting ------------------------------------------------------------
 
-    def _rent_some(self) -> None:
+    def _rent_machines(self) -> None:
         now = self._clock.steady()
-        self._refused = {o: t for o, t in self._refused.items() if t > now}
+        self._refused_until = {o: t for o, t in self._refused_until.items() if t > now}
         spare = self._spare_capacity_requests()
         if not self.capacity_requests and not spare:
             return
-        live = self._live()
-        supply = Counter(m.zone for m in live)
-        coming = Counter(m.type for m in live if m.state is MachineState.BOOTING)
-        refused = set(self._refused)
-        requests = plan_rentals(self.capacity_requests, self.catalog, coming, refused, supply, most=wire.MAX_RENT)
+        live = self._live_machines()
+        machines_by_zone = Counter(m.zone for m in live)
+        booting = Counter(m.type for m in live if m.state is MachineState.BOOTING)
+        refused = set(self._refused_until)
+        requests = plan_rentals(
+            self.capacity_requests, self.catalog, booting, refused, machines_by_zone, most=wire.MAX_RENT
+        )
         if not requests:
-            requests = plan_rentals(spare, self.catalog, {}, refused, supply, most=wire.MAX_RENT)
-        # A second's worth of calls: machines to return and the list wait no longer than that.
-        most = min(max(1, int(self._platform.cloud.rps)), self._store.limits.txn_ops)
-        intents = dict(map(self._intent, requests[:most]))
+            requests = plan_rentals(spare, self.catalog, {}, refused, machines_by_zone, most=wire.MAX_RENT)
+        # At most one second's worth of calls, so that returns and the machine list wait no longer than that.
+        max_requests = min(max(1, int(self._platform.cloud.rps)), self._store.limits.txn_ops)
+        intents = dict(map(self._new_intent, requests[:max_requests]))
         if intents and self._write_rental_record(rent=intents):
-            self._ask_for(intents)
+            self._request_rentals(intents)
 
-    def _intent(self, request: Request) -> tuple[str, dict]:
-        """The record of a request to be made, under a name that is never used again."""
+    def _new_intent(self, request: Request) -> tuple[str, dict]:
+        """Return a unique name for a rental request, and the request as it is recorded."""
         offer, count, spec = request
-        self._requests += 1
+        self._request_count += 1
         log.info(
-            "asking for %d %s %s in %s: %s (%s, %g CPUs) has no room",
+            "asking for %d %s machines of type %s in zone %s: job %s (class %s, %g CPUs per task) lacks capacity",
             count,
             "spot" if offer.spot else "ordinary",
             offer.type,
@@ -424,14 +436,14 @@
             spec.klass,
             spec.cpus,
         )
-        name = f"r-{self._term}-{self._requests}-{self._platform.node}"
+        name = f"r-{self._term}-{self._request_count}-{self._platform.node}"
         return name, {"t": offer.type, "z": offer.zone, "s": offer.spot, "n": count}
 
     def _spare_capacity_requests(self) -> list[CapacityRequest]:
-        """Room to keep free, for services first: they can't use spot machines."""
+        """Return requests for capacity to keep free, first for jobs that can't use spot machines, such as services."""
         if not self.plain_types:
             return self._spare_machine_requests()
-        missing = self._room_wanted() - self._room()
+        missing = self._cpu_target() - self._cpu_supply()
         if missing <= 0:
             return []
         samples = {
@@ -446,69 +458,86 @@
         ]
 
     def _spare_machine_requests(self) -> list[CapacityRequest]:
-        """Boxes to keep free where all have accelerators: as many tasks of some job of each kind as they hold."""
-        over = self._surplus_machines()
-        wants = []
+        """Return requests for spare machines where all types have accelerators.
+
+        Each request names one job as a sample, spot or not, and as many of its
+        tasks as the missing machines hold.
+        """
+        surplus = self._surplus_machines()
+        requests = []
         for spot in (False, True):
             job = next((j for j in self._job_index.jobs.values() if j.spec.spot is spot and not j.cancelled), None)
-            if job is not None and (lacking := math.floor(-over[spot])) > 0:
+            if job is not None and (missing := math.floor(-surplus[spot])) > 0:
                 slots = max(tasks_per_machine(job.spec, t) for t in self.catalog.values() if type_fits(job.spec, t))
-                wants.append(
-                    CapacityRequest(job.spec, lacking * slots, self.price_limit(job, spare=True), prefer_spot=spot)
+                requests.append(
+                    CapacityRequest(job.spec, missing * slots, self.price_limit(job, spare=True), prefer_spot=spot)
                 )
-        return wants
-
-    def _repeat_requests(self) -> None:
-        """Ask again for what was written down and not settled, under the same name."""
-        open_ = {
-            name: i for name, i in self._inventory.rental_record.pending_rentals.items() if name not in self._settled
+        return requests
+
+    def _retry_pending_rentals(self) -> None:
+        """Repeat recorded requests that are not settled, under the same names."""
+        unsettled = {
+            name: i
+            for name, i in self._inventory.rental_record.pending_rentals.items()
+            if name not in self._settled_requests
         }
-        if open_:
-            self._ask_for(open_)
+        if unsettled:
+            self._request_rentals(unsettled)
 
-    def _ask_for(self, intents: dict[str, dict]) -> None:
-        """Ask for what was written down; what was answered is crossed out with the next write."""
+    def _request_rentals(self, intents: dict[str, dict]) -> None:
+        """Send recorded requests to the cloud; the next write of the rental record removes those that were answered."""
         for name, intent in list(intents.items()):
-            self._ask_once(name, intent)
-            self._settled.add(name)
+            self._request_rental(name, intent)
+            self._settled_requests.add(name)
 
-    def _ask_once(self, name: str, intent: dict) -> None:
+    def _request_rental(self, name: str, intent: dict) -> None:
         offer = Offer(intent["t"], intent["z"], intent["s"])
         reply = self._call("POST", wire.RENT_PATH, wire.rent_body(name, *offer, intent["n"]))
         now = self._clock.steady()
         if reply.status == 503:
-            self._refused[offer] = now + REFUSED_OFFER_BACKOFF
-            log.info("no %s %s in %s", "spot" if offer.spot else "ordinary", offer.type, offer.zone)
+            self._refused_until[offer] = now + REFUSED_OFFER_BACKOFF
+            log.info(
+                "cloud has no capacity: %s machines of type %s in zone %s",
+                "spot" if offer.spot else "ordinary",
+                offer.type,
+                offer.zone,
+            )
             return
         try:
             names = wire.parse_rented(reply.fields)
         except MalformedMessage as error:
             raise CloudUnavailable(str(error)) from error
         if len(names) < intent["n"]:
-            self._refused[offer] = now + REFUSED_OFFER_BACKOFF
+            self._refused_until[offer] = now + REFUSED_OFFER_BACKOFF
         for machine in names:
             if self._inventory.gone(machine):
-                continue  # asked for again by a new leader, and returned since
+                continue  # a new leader repeated the request, and the machine has been returned since
             self._inventory.adopt(machine, offer.type, offer.zone, offer.spot, "")
-        log.info("rented %d %s %s in %s", len(names), "spot" if offer.spot else "ordinary", offer.type, offer.zone)
+        log.info(
+            "rented %d %s machines of type %s in zone %s",
+            len(names),
+            "spot" if offer.spot else "ordinary",
+            offer.type,
+            offer.zone,
+        )
 
     # -- records ------------------------------------------------------------
 
     def _write_rental_record(self, rent: dict[str, dict] | None = None, back: Iterable[str] = ()) -> bool:
-        """Write the page of dealings anew, with all that was settled since; whether it was."""
-        self._told_at = self._clock.steady()
-        settled, gone = set(self._settled), list(self._gone)
+        """Write the rental record with all that changed since the last write; return whether it succeeded."""
+        self._record_written_at = self._clock.steady()
+        settled, gone = set(self._settled_requests), list(self._unrecorded_gone)
         if not (rent or back or settled or gone):
             return True
-        dealings = self._inventory.rental_record.updated(rent or {}, settled, list(back), gone, self._names)
-        if not self._write(CLOUD_KEY, dealings.record(), Purpose.CANCEL_OR_FENCE if gone else Purpose.CLOUD):
+        rental_record = self._inventory.rental_record.updated(rent or {}, settled, list(back), gone, self._max_names)
+        if not self._write(CLOUD_KEY, rental_record.record(), Purpose.CANCEL_OR_FENCE if gone else Purpose.CLOUD):
             return False
-        self._settled -= settled
-        self._gone = [name for name in self._gone if name not in gone]
+        self._settled_requests -= settled
+        self._unrecorded_gone = [name for name in self._unrecorded_gone if name not in gone]
         return True
 
     def _write(self, key: str, value: dict, purpose: Purpose) -> bool:
-        """Write a record of the leader's, guarded by its reign and by the version it was made from."""
+        """Write one of the leader's records, guarded by its term and the version it replaces; return success."""
         if self._leader_term is None:
             return False
         guards = {LEADER_KEY: self._leader_term.leader_key_version, key: self._mirror.version(key)}
@@ -520,5 +549,5 @@
             try:
                 self._mirror.refresh(key)
             except StoreUnavailable as error:
-                log.debug("%s is read later: %s", key, error)
+                log.debug("key %s could not be read again after a conflict, retrying later: %s", key, error)
         return False
--- a/kelpjunction/fleet/demand.py
+++ b/kelpjunction/fleet/demand.py
@@ -1,4 +1,4 @@
-"""How many machines of which kind are wanted, and which are not.  Pure."""
+"""Plans which machines to rent for tasks that lack capacity.  Pure functions, without I/O or state."""
 
 import math
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class Offer(NamedTuple):
-    """Something that can be rented."""
+    """A machine type in one zone, spot or on demand, that can be rented."""
 
     type: str
     zone: str
@@ -28,17 +28,17 @@
 
 
 class CapacityRequest(NamedTuple):
-    """Tasks of one job that found no room, and what may be paid for it."""
+    """Tasks of one job that lack capacity, and what may be paid for it."""
 
     spec: JobSpec
     tasks: int
     price_limit: PriceLimit = NO_PRICE_LIMIT
-    prefer_spot: bool = False  # it waits for spot machines where others of the type cost several times as much
+    prefer_spot: bool = False  # spot only, for types whose on-demand price is several times higher
 
 
 def offers(capacity_request: CapacityRequest, catalog: dict[str, MachineType]) -> list[Offer]:
-    """What could be rented for this job, the cheapest room first."""
-    spec, budget = capacity_request.spec, capacity_request.price_limit
+    """Return the offers that fit a job and its price limit, lowest price per task first."""
+    spec, price_limit = capacity_request.spec, capacity_request.price_limit
     found: list[tuple[float, Offer]] = []
     for type_ in catalog.values():
         if not type_fits(spec, type_):
@@ -51,13 +51,13 @@
                 found.extend(
                     (hourly_price_per_task(spec, type_, k), Offer(type_.name, zone, k))
                     for k in kinds
-                    if not (budget.exclude_expensive and budget.is_expensive(spec, type_, k))
+                    if not (price_limit.exclude_expensive and price_limit.is_expensive(spec, type_, k))
                 )
     return [offer for _, offer in sorted(found)]
 
 
 class Request(NamedTuple):
-    """Machines to ask the cloud for, and a job that lacks their room."""
+    """Machines to request from the cloud, and one of the jobs that need them."""
 
     offer: Offer
     count: int
@@ -65,70 +65,74 @@
 
 
 @dataclass(slots=True)
-class _Lack:
-    """What wants that would rent the same lack together."""
+class _Shortage:
+    """The combined shortage of capacity requests that have the same cheapest offers."""
 
     spec: JobSpec
     machines: float = 0.0
-    unit: int = 1  # machines that are of use only together, in one zone
+    group_size: int = 1  # machines that are useful only together, in one zone
 
 
 def plan_rentals(
     capacity_requests: Iterable[CapacityRequest],
     catalog: dict[str, MachineType],
-    coming: dict[str, int],
+    booting: dict[str, int],
     refused: set[Offer],
-    supply: dict[str, int],
+    machines_by_zone: dict[str, int],
     most: int,
 ) -> list[Request]:
-    """The next requests for machines, at most `most` machines each.
-
-    `coming` counts machines by type that boot already: room that is on its
-    way is not rented again.  Small jobs share machines, so both are reckoned
-    in parts of machines, and what several jobs lack is asked for together: the
-    cloud allows few calls.  The types take turns, so that a queue for one does
-    not keep the work waiting that needs another.  `supply` counts machines by
-    zone: among equally cheap offers the zones with fewest come first.
+    """Return the next rental requests, of at most `most` machines each.
+
+    `booting` counts the booting machines of each type, whose capacity is not
+    rented again.  Small jobs share machines, so booting and missing machines
+    are counted in fractions.  Shortages of several jobs are requested together
+    because the cloud allows few calls.  Requests alternate between types, so
+    that a queue for one type does not delay jobs that need another.  Among
+    equally cheap offers, the zones with the fewest machines come first.
     """
-    left_of = {name: float(count) for name, count in coming.items()}
-    lacks: dict[tuple[Offer, ...], _Lack] = {}
-    known: dict[tuple, list[Offer]] = {}  # offers by what a job needs: many need the same
-    for want in capacity_requests:
-        spec, left = want.spec, float(want.tasks)
-        needs = (spec.needs, want.price_limit, want.prefer_spot)
-        choices = known.get(needs)
-        if choices is None:
-            choices = known[needs] = offers(want, catalog)
-        for name in dict.fromkeys(o.type for o in choices):
+    unclaimed = {name: float(count) for name, count in booting.items()}
+    shortages: dict[tuple[Offer, ...], _Shortage] = {}
+    offers_by_need: dict[tuple, list[Offer]] = {}  # computed once per need: many jobs have the same
+    for capacity_request in capacity_requests:
+        spec, left = capacity_request.spec, float(capacity_request.tasks)
+        needs = (spec.needs, capacity_request.price_limit, capacity_request.prefer_spot)
+        job_offers = offers_by_need.get(needs)
+        if job_offers is None:
+            job_offers = offers_by_need[needs] = offers(capacity_request, catalog)
+        for name in dict.fromkeys(o.type for o in job_offers):
             slots = tasks_per_machine(spec, catalog[name])
-            used = min(left_of.get(name, 0.0), left / slots)
+            used = min(unclaimed.get(name, 0.0), left / slots)
             if used > 0:
-                left_of[name] -= used
+                unclaimed[name] -= used
                 left -= used * slots
-        open_ = [o for o in choices if o not in refused]
-        if left <= SLACK or not open_:
+        available = [o for o in job_offers if o not in refused]
+        if left <= SLACK or not available:
             continue
-        same = tuple(o for o in open_ if o[::2] == open_[0][::2])
-        slots = tasks_per_machine(spec, catalog[same[0].type])
-        lack = lacks.setdefault(same, _Lack(spec))
-        lack.machines += left / slots
+        equal_offers = tuple(o for o in available if o[::2] == available[0][::2])
+        slots = tasks_per_machine(spec, catalog[equal_offers[0].type])
+        shortage = shortages.setdefault(equal_offers, _Shortage(spec))
+        shortage.machines += left / slots
         if spec.one_zone:
-            lack.unit = max(lack.unit, -(-spec.tasks // slots))
-    turns: Counter = Counter()
+            shortage.group_size = max(shortage.group_size, -(-spec.tasks // slots))
+    requests_by_type: Counter = Counter()
     ranked: list[tuple[int, list[Request]]] = []
-    for same, lack in lacks.items():
-        ranked.append((turns[same[0].type], _share_out(lack, same, supply, most)))
-        turns[same[0].type] += 1
+    for equal_offers, shortage in shortages.items():
+        ranked.append(
+            (requests_by_type[equal_offers[0].type], _spread_over_zones(shortage, equal_offers, machines_by_zone, most))
+        )
+        requests_by_type[equal_offers[0].type] += 1
     return [request for _, requests in sorted(ranked, key=lambda entry: entry[0]) for request in requests]
 
 
-def _share_out(lack: _Lack, same: tuple[Offer, ...], supply: dict[str, int], most: int) -> list[Request]:
-    """Machines for a lack, levelled out over the zones; what is of use only together is not parted."""
-    left = math.ceil(lack.machines - SLACK)
+def _spread_over_zones(
+    shortage: _Shortage, equal_offers: tuple[Offer, ...], machines_by_zone: dict[str, int], most: int
+) -> list[Request]:
+    """Return requests that cover a shortage, balanced over zones, with each group of machines in one zone."""
+    left = math.ceil(shortage.machines - SLACK)
     counts: Counter[Offer] = Counter()
     while left > 0:
-        offer = min(same, key=lambda o: (supply.get(o.zone, 0) + counts[o], o.zone))
-        count = min(left, lack.unit)
+        offer = min(equal_offers, key=lambda o: (machines_by_zone.get(o.zone, 0) + counts[o], o.zone))
+        count = min(left, shortage.group_size)
         counts[offer] += count
         left -= count
-    return [Request(offer, min(count, most), lack.spec) for offer, count in counts.items()]
+    return [Request(offer, min(count, most), shortage.spec) for offer, count in counts.items()]
--- a/kelpjunction/fleet/rental_record.py
+++ b/kelpjunction/fleet/rental_record.py
@@ -1,28 +1,28 @@
-"""The leader's page of its dealings with the cloud: one record, which only leaders write.
-
-It holds the requests for machines that are not known to be settled, the
-machines whose return was asked for, and those whose return was confirmed.
-Each write is guarded by `l/lead` and by the page's own version, so that a
-write of unknown outcome can't undo a later one.  What was settled is crossed
-out with the next write: a new leader that finds it asks again, under the same
-name, and gets the same answer.  Names under `gone` are kept for as long as the
-page has room; who has not heard of one finds its machine silent and has it
-returned once more, which the cloud takes as done.
+"""The record of the leader's rentals and returns: one key, which only leaders write.
+
+It holds the rental requests that are not known to be settled, the machines
+whose return was requested, and the machines whose return was confirmed.  Each
+write is guarded by `l/lead` and by the record's own version, so that a write of
+unknown outcome can't undo a later one.  A settled request is removed by the
+next write.  A new leader that still finds it repeats it under the same name and
+gets the same response.  Names under `gone` are kept while there is room for
+them.  A node that missed one finds the machine silent, and the machine is
+returned again, which the cloud accepts as already done.
 """
 
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
 CLOUD_KEY = "l/cloud"
-NAME_BYTES = 24  # what is allowed for a machine's name
+MACHINE_NAME_BYTES = 24  # allowance for one machine name
 
 
 class RentalRecord(NamedTuple):
-    """What a leader has asked of the cloud."""
+    """The leaders' pending rental requests and returns, and the machines that are gone."""
 
     pending_rentals: dict[str, dict] = {}  # request name -> type, zone, whether spot, how many  # noqa: RUF012
-    pending_returns: tuple[str, ...] = ()  # machines whose return was asked for, perhaps carried out
-    gone: tuple[str, ...] = ()  # machines that the cloud confirmed as gone, the latest last
+    pending_returns: tuple[str, ...] = ()  # machines whose return was requested, and may have happened
+    gone: tuple[str, ...] = ()  # machines that the cloud confirmed as gone, latest last
 
     @classmethod
     def of(cls, value: dict | None) -> "RentalRecord":
@@ -39,8 +39,11 @@
         gone: Collection[str],
         room: int,
     ) -> "RentalRecord":
-        """With new requests and returns; without what was settled; `room` bounds the names under `gone`."""
+        """Return the record with new requests (`rent`) and returns (`back`) and without settled requests.
+
+        `room` limits the number of names under `gone`; the latest are kept.
+        """
         kept = {name: intent for name, intent in self.pending_rentals.items() if name not in settled}
-        returned = tuple(dict.fromkeys((*self.gone, *gone)))[-room:]
-        asked = tuple(n for n in dict.fromkeys((*self.pending_returns, *back)) if n not in set(gone))
-        return RentalRecord(kept | dict(rent), asked, returned)
+        all_gone = tuple(dict.fromkeys((*self.gone, *gone)))[-room:]
+        returns = tuple(n for n in dict.fromkeys((*self.pending_returns, *back)) if n not in set(gone))
+        return RentalRecord(kept | dict(rent), returns, all_gone)
