--- a/kelpjunction/fleet/machine_monitor.py
+++ b/kelpjunction/fleet/machine_monitor.py
@@ -1,8 +1,8 @@
-"""What a holder sees of its block's machines: up, silent, faulty; and tells the others.
+"""Monitors the machines of the blocks that this node holds, and publishes their states.
 
-Before a machine is blamed for its silence this node looks at itself: whether
-it stood still, whether it hears the state service, whether it reaches any
-machine at all, and whether the machine's neighbours answer.
+Before a silent machine is returned, this node rules out other causes: whether
+it was paused itself, whether its mirror of the state service is fresh, whether
+it reaches any machine at all, and whether the machine's neighbours respond.
 """
 
 import logging
@@ -27,14 +27,14 @@
 
 log = logging.getLogger("fleet")
 
-IMAGES_EVERY = timedelta(seconds=3)
+IMAGES_PUBLISH_INTERVAL = timedelta(seconds=3)
 PROBE_SAMPLE_SIZE = 3
-MAX_REPORT_INTERVAL_FACTOR = 1.25  # times between two reports that the next one takes at most, as PROTOCOL says
-PROBES_TO_RECOVER = 3  # probes in turn that a deaf node must see answered
+MAX_REPORT_INTERVAL_FACTOR = 1.25  # PROTOCOL's limit for the time to the next report
+PROBES_TO_RECOVER = 3  # consecutive successful checks before a node that reached no machine recovers
 
 
 class MachineMonitor:
-    """The machines of the blocks that this node holds."""
+    """Tracks and publishes the machines of the blocks that this node holds."""
 
     def __init__(
         self,
@@ -67,34 +67,34 @@
         self._states = StateIndex(changes, inventory.machines)
         self._published_at = ZERO
         self._publishing = False
-        self._unanswered_probes = 0  # machines that a probe still waits for
-        self._reached = False
-        self._answers = 0  # probes in turn that were answered
-        self.no_machine_reachable = False  # whether this node reaches no machine, though it hears the state service
+        self._outstanding_probes = 0  # of the current reachability check
+        self._any_reached = False
+        self._consecutive_successes = 0  # reachability checks in which a machine responded
+        self.no_machine_reachable = False  # set while this node reaches the state service but no machine
         self.on_reachability_change: Callable[[], None] = lambda: None
-        self.changed = False  # whether a machine's state is to be told at once
-        worker_registry.on_seen = self._seen
-        worker_registry.on_exit = self._exited
+        self.changed = False  # whether a machine's state should be published immediately
+        worker_registry.on_seen = self._on_report
+        worker_registry.on_exit = self._on_exit
         worker_registry.images_of = self._images_of
         worker_registry.is_gone = inventory.gone
         inventory.on_gone = worker_registry.settle_machine
 
     def on_block_gained(self, zone: str) -> None:
-        """The block became ours: ask its machines at once, its workers may take a while to find us."""
+        """Probe the machines of a block that this node now holds: their workers may take a while to find it."""
         for machine in [name for name in self._job_index.loads if self._inventory.gone(name)]:
-            self._worker_registry.settle_machine(machine)  # returned while nobody held the block
-        there = [m for m in self._inventory.machines.values() if m.zone == zone and m.address]
-        there = [m for m in there if m.state is not MachineState.RETURNING]
-        shown = set(self._random.sample([m.name for m in there], min(PROBE_SAMPLE_SIZE, len(there))))
-        for machine in there:
-            self._spawn(self._greet, machine, machine.name in shown)
-
-    def _greet(self, machine: Machine, show_token: bool) -> None:
-        """Ask a new block's worker how it stands; some are shown our token too.
-
-        Whoever held the block may have lost the state service and the other
-        nodes, but not these workers: they go on reporting to it, and it finds
-        out from them.
+            self._worker_registry.settle_machine(machine)  # returned while the block had no holder
+        to_probe = [m for m in self._inventory.machines.values() if m.zone == zone and m.address]
+        to_probe = [m for m in to_probe if m.state is not MachineState.RETURNING]
+        token_shown_to = set(self._random.sample([m.name for m in to_probe], min(PROBE_SAMPLE_SIZE, len(to_probe))))
+        for machine in to_probe:
+            self._spawn(self._probe_gained_machine, machine, machine.name in token_shown_to)
+
+    def _probe_gained_machine(self, machine: Machine, show_token: bool) -> None:
+        """Probe a machine of a block that this node now holds, and show some of the workers our token.
+
+        The previous holder may have lost the state service and the other nodes
+        but still receive these workers' reports.  It learns of the higher token
+        from them.
         """
         if self._worker_registry.probe(machine.name, machine.address) is not False and show_token:
             self._worker_registry.show_token(machine.name)
@@ -107,23 +107,29 @@
         machine = self._inventory.machines.get(name)
         return list(machine.images) if machine else []
 
-    def _seen(self, report: Report) -> None:
-        """A worker that this node reaches reported: its machine is up."""
+    def _on_report(self, report: Report) -> None:
+        """Mark a machine up, or leaving, after a report of its worker, which this node reaches."""
         machine = self._inventory.adopt(report.machine, report.type, report.zone, report.spot, report.address)
         machine.unanswered_probes = 0
         now = self._clock.steady()
         if report.termination_notice is not None:
-            became = machine.become(
-                MachineState.LEAVING, now, f"taken back in {report.termination_notice.total_seconds():.0f} s"
+            state_changed = machine.become(
+                MachineState.LEAVING,
+                now,
+                f"the cloud terminates it in {report.termination_notice.total_seconds():.0f} s",
             )
         else:
-            became = machine.become(MachineState.UP, now, "it reports")
-        if became:
+            state_changed = machine.become(MachineState.UP, now, "it reports")
+        if state_changed:
             self.changed = True
             self._inventory.on_change()
 
-    def _exited(self, placement: Placement) -> None:
-        """A task that ended well clears its machine of what failed there before, until it fails there again."""
+    def _on_exit(self, placement: Placement) -> None:
+        """Update the failure evidence after an exit.
+
+        A success clears the machine of the jobs that failed there before.  A
+        job counts against it again once it fails there again.
+        """
         machine = self._inventory.machines.get(placement.machine)
         if machine is None:
             return
@@ -133,8 +139,8 @@
         elif placement.cause is ExitCause.ERROR:
             machine.cleared_of.discard(placement.task.ref)
 
-    def _judge(self, now: timedelta) -> None:
-        """Shun the machines that some job speaks against; never a quarter of the fleet is faulty at once."""
+    def _update_faulty_machines(self, now: timedelta) -> None:
+        """Suspect machines with failure evidence; mark them faulty while less than a quarter of the fleet is."""
         for machine in self.mine():
             if machine.state is not MachineState.UP or not (
                 machine.suspected or machine.name in self._job_index.failed_on
@@ -144,124 +150,135 @@
             machine.suspect(count > 0)
             faulty = sum(m.state is MachineState.FAULTY for m in self._inventory.machines.values())
             if enough and faulty * 4 < len(self._inventory.machines):
-                machine.become(MachineState.FAULTY, now, "tasks of jobs that run elsewhere failed on it")
+                machine.become(
+                    MachineState.FAULTY, now, "failures of several jobs, or of one that succeeds elsewhere, point to it"
+                )
 
     def run_once(self) -> None:
-        """Find machines of our blocks that fell silent, and tell the others how ours are."""
+        """Find silent and faulty machines in the held blocks, and publish the states of all their machines."""
         now = self._clock.steady()
         self._pause_detector.heartbeat()
         if not self._mirror.fresh:
-            return  # these machines may be another's by now
-        mine = [m for m in self.mine() if m.state not in (MachineState.BOOTING, MachineState.RETURNING)]
-        for machine in mine:
+            return  # another node may hold these blocks by now
+        monitored = [m for m in self.mine() if m.state not in (MachineState.BOOTING, MachineState.RETURNING)]
+        for machine in monitored:
             worker = self._worker_registry.workers.get(machine.name)
-            proved_at = worker.reachability_tracker.proved_at if worker else None
-            deaf = worker is not None and worker.reachability_tracker.reachability is Reachability.UNREACHABLE
-            # While this node stood still, nobody could be heard.
-            since = max(proved_at or self._blocks.own_grant(machine.zone).since, self._pause_detector.running_since)
-            if deaf:
-                self._fall_silent(machine, "it does not answer")
-            if deaf or now - since > self._times.report * MAX_REPORT_INTERVAL_FACTOR:
-                self._spawn(self._visit_silent, machine)
-        self._judge(now)
-        if self.no_machine_reachable or (mine and all(m.state is MachineState.SILENT for m in mine)):
-            self._probe()
+            last_proved_at = worker.reachability_tracker.proved_at if worker else None
+            unreachable = worker is not None and worker.reachability_tracker.reachability is Reachability.UNREACHABLE
+            # No report could be received while this node was paused.
+            silent_since = max(
+                last_proved_at or self._blocks.own_grant(machine.zone).since, self._pause_detector.running_since
+            )
+            if unreachable:
+                self._mark_silent(machine, "its worker is unreachable")
+            if unreachable or now - silent_since > self._times.report * MAX_REPORT_INTERVAL_FACTOR:
+                self._spawn(self._probe_late_machine, machine)
+        self._update_faulty_machines(now)
+        if self.no_machine_reachable or (monitored and all(m.state is MachineState.SILENT for m in monitored)):
+            self._start_reachability_check()
         self.publish()
 
-    def _fall_silent(self, machine: Machine, reason: str) -> bool:
-        """Call a machine silent; whether it was not so before."""
+    def _mark_silent(self, machine: Machine, reason: str) -> bool:
+        """Mark a machine silent if it is up or leaving, and return whether it was."""
         if machine.state not in (MachineState.UP, MachineState.LEAVING):
             return False
         return machine.become(MachineState.SILENT, self._clock.steady(), reason)
 
-    def _visit_silent(self, machine: Machine) -> None:
-        """Ask a machine whose report is late: one that answers was never silent.
+    def _probe_late_machine(self, machine: Machine) -> None:
+        """Probe a machine whose report is late; if it responds, it is not silent.
 
-        A report that gets no answer costs its worker 4 s of waiting and 1 s more before it tries the next node, so
-        each one that is lost makes the next late, of machines that are well.
+        A report that gets no response costs its worker 4 s of waiting and 1 s more before it tries the next node.
+        So each lost report delays the next one, even of a healthy machine.
         """
-        asked_at = self._clock.steady()
+        probed_at = self._clock.steady()
         answered = self._worker_registry.probe(machine.name, machine.address)
         if answered is not False or self._blocks.own_grant(machine.zone) is None:
             return
-        if self._pause_detector.running_since > asked_at:
-            return  # the answer may have come while this node stood still
-        if self._fall_silent(machine, "no report, and no answer"):
-            return  # only questions to a machine that is silent speak for its return
+        if self._pause_detector.running_since > probed_at:
+            return  # the response may have arrived while this node was paused
+        if self._mark_silent(machine, "no report, and no response to a probe"):
+            return  # only probes of a machine that is already silent count towards its return
         machine.unanswered_probes += 1
         if machine.unanswered_probes < 2 or self.no_machine_reachable:
             return
-        end = self._worker_registry.lease_end(machine.name, machine.zone)
-        over = end is not None and self._clock.steady() > end + seconds(30)
-        if over or not self._looks_partitioned(machine.zone):
-            machine.become(MachineState.RETURNING, self._clock.steady(), "it does not answer")
-
-    def _probe(self) -> None:
-        """Find out whether this node reaches any machine at all, in whatever block."""
-        if self._unanswered_probes:
+        lease_end = self._worker_registry.lease_end(machine.name, machine.zone)
+        lease_is_over = lease_end is not None and self._clock.steady() > lease_end + seconds(30)
+        if lease_is_over or not self._looks_partitioned(machine.zone):
+            machine.become(MachineState.RETURNING, self._clock.steady(), "it does not respond to probes")
+
+    def _start_reachability_check(self) -> None:
+        """Probe a sample of machines of all blocks, to check whether this node reaches any."""
+        if self._outstanding_probes:
             return
-        there = [m for m in self._inventory.machines.values() if m.address and m.state is not MachineState.RETURNING]
-        up = [m for m in there if m.state is MachineState.UP] or there
-        some = self._random.sample(up, min(PROBE_SAMPLE_SIZE, len(up)))
-        self._unanswered_probes, self._reached = len(some), False
-        for machine in some:
-            self._spawn(self._ask, machine)
-
-    def _ask(self, machine: Machine) -> None:
+        candidates = [
+            m for m in self._inventory.machines.values() if m.address and m.state is not MachineState.RETURNING
+        ]
+        up = [m for m in candidates if m.state is MachineState.UP] or candidates
+        sample = self._random.sample(up, min(PROBE_SAMPLE_SIZE, len(up)))
+        self._outstanding_probes, self._any_reached = len(sample), False
+        for machine in sample:
+            self._spawn(self._run_reachability_probe, machine)
+
+    def _run_reachability_probe(self, machine: Machine) -> None:
         reached = self._worker_registry.probe(machine.name, machine.address) is not False
-        self._unanswered_probes -= 1
-        self._reached = self._reached or reached
-        if not self._unanswered_probes:
-            self._answers = self._answers + 1 if self._reached else 0
-            if not self._answers and not self.no_machine_reachable and self._mirror.fresh:
+        self._outstanding_probes -= 1
+        self._any_reached = self._any_reached or reached
+        if not self._outstanding_probes:
+            self._consecutive_successes = self._consecutive_successes + 1 if self._any_reached else 0
+            if not self._consecutive_successes and not self.no_machine_reachable and self._mirror.fresh:
                 self._set_no_machine_reachable(no_machine_reachable=True)
-            elif self.no_machine_reachable and self._answers >= PROBES_TO_RECOVER:
+            elif self.no_machine_reachable and self._consecutive_successes >= PROBES_TO_RECOVER:
                 self._set_no_machine_reachable(no_machine_reachable=False)
 
     def _set_no_machine_reachable(self, no_machine_reachable: bool) -> None:
-        """The one place where `no_machine_reachable` changes."""
+        """Set and log `no_machine_reachable`, and notify the listener; every change goes through here."""
         self.no_machine_reachable = no_machine_reachable
         log.info(
             "this node reaches %s",
-            "no machine: its blocks should be another's" if no_machine_reachable else "machines again",
+            "no machine: its blocks should move to another node" if no_machine_reachable else "machines again",
         )
         self.on_reachability_change()
 
     def _looks_partitioned(self, zone: str) -> bool:
-        """Whether a silent machine's neighbours are silent too, or many are at once.
+        """Whether a machine's silence looks like a network partition rather than a failed machine.
 
-        That is like a cut, not like machines that died.  Tasks in a cut zone
-        go on until their leases end, so the leases are waited for.
+        It does if sampled neighbours do not respond, or if none is up and many
+        machines are silent at once.  Tasks in a partitioned zone run until
+        their leases end, so the machine is not returned before that.
         """
-        near = self._states.names(zone, MachineState.UP)
-        if near:
-            names = self._random.sample(near, min(PROBE_SAMPLE_SIZE, len(near)))
-            some = [self._inventory.machines[name] for name in names]
-            return not any(self._worker_registry.probe(m.name, m.address) for m in some)
-        silent, everywhere = len(self._states.names(zone, MachineState.SILENT)), self._states.count(MachineState.SILENT)
-        there, machines = self._states.in_zone(zone), len(self._inventory.machines)
-        return (silent >= 3 and silent * 2 > there) or (everywhere >= 4 and everywhere * 2 > machines)
+        up_in_zone = self._states.names(zone, MachineState.UP)
+        if up_in_zone:
+            names = self._random.sample(up_in_zone, min(PROBE_SAMPLE_SIZE, len(up_in_zone)))
+            sample = [self._inventory.machines[name] for name in names]
+            return not any(self._worker_registry.probe(m.name, m.address) for m in sample)
+        silent, silent_in_all = (
+            len(self._states.names(zone, MachineState.SILENT)),
+            self._states.count(MachineState.SILENT),
+        )
+        in_zone, machines = self._states.in_zone(zone), len(self._inventory.machines)
+        return (silent >= 3 and silent * 2 > in_zone) or (silent_in_all >= 4 and silent_in_all * 2 > machines)
 
     def publish(self) -> None:
-        """Write down what changed of our blocks' machines, a page at a time, guarded by the blocks' grants.
+        """Write the changed pages of the held blocks' machines, each guarded by its block's grant.
 
-        States first: they decide what is placed where.  Images go along with
-        them; by themselves they have what the budget leaves over.
+        Pages with changed states go first, because placement depends on them;
+        they include the images.  Pages where only images changed are written
+        if the rate limiter has capacity left over.
         """
         if self._publishing:
-            return  # by the other of the two loops that do
+            return  # two loops call this, and the other one is publishing
         self._publishing = True
         try:
             self._publish()
         except StoreUnavailable as error:
-            log.debug("machines are told later: %s", error)
+            log.debug("machine pages are written later: %s", error)
         finally:
             self._publishing = False
 
     def _publish(self) -> None:
         self.changed = False
         now = self._clock.steady()
-        with_images = now - self._published_at >= IMAGES_EVERY
+        with_images = now - self._published_at >= IMAGES_PUBLISH_INTERVAL
         txns: list[Transaction] = []
         for zone in self._blocks.held_zones():
             txns += self._pages_to_write(zone, with_images)
@@ -275,7 +292,7 @@
             self._write(txn)
 
     def _pages_to_write(self, zone: str, with_images: bool) -> list[Transaction]:
-        """A block's pages that are to be written anew."""
+        """Return transactions that write a block's changed pages; image changes alone count only `with_images`."""
         stored = self._inventory.pages(zone)
         pages: dict[str, dict[str, list]] = {key: {} for key in stored}
         page_of = {name: key for key, rows in stored.items() for name in rows}
@@ -285,7 +302,7 @@
                 continue
             worker = self._worker_registry.workers.get(machine.name)
             if worker is not None:
-                machine.take_images(list(worker.images))
+                machine.update_images(list(worker.images))
             key = page_of.get(machine.name)
             if key is None and machine.state is MachineState.RETURNING:
                 continue
@@ -297,7 +314,7 @@
         txns = []
         for key, rows in pages.items():
             old_rows = stored.get(key, {})
-            if key not in urgent and not (with_images and _differ(rows, old_rows)):
+            if key not in urgent and not (with_images and _page_differs(rows, old_rows)):
                 continue
             txn = Transaction(Purpose.MACHINE_STATE if key in urgent else Purpose.BEST_EFFORT)
             txn.guard(key, self._mirror.version(key)).guard(block_key(zone), self._blocks.own_grant(zone).version)
@@ -305,9 +322,9 @@
         return txns
 
     def _page_with_room(self, zone: str, pages: dict[str, dict], stored: dict[str, dict]) -> str:
-        most = max(1, self._store.limits.value_bytes // MACHINE_ROW_BYTES)
+        max_rows = max(1, self._store.limits.value_bytes // MACHINE_ROW_BYTES)
         for key, rows in pages.items():
-            if len(rows.keys() | stored.get(key, {}).keys()) < most:
+            if len(rows.keys() | stored.get(key, {}).keys()) < max_rows:
                 return key
         return f"{MACHINE_PREFIX}{zone}/{max((int(k.rpartition('/')[2]) for k in pages), default=-1) + 1}"
 
@@ -320,6 +337,6 @@
                 self._mirror.refresh(key)
 
 
-def _differ(rows: dict[str, list], stored: dict[str, Row]) -> bool:
-    """Whether a page lacks machines, has some that are gone, or images that are not told."""
+def _page_differs(rows: dict[str, list], stored: dict[str, Row]) -> bool:
+    """Whether a stored page lacks machines, has some that are gone, or has outdated images."""
     return rows.keys() != stored.keys() or any(set(row[4]) != set(stored[name].images) for name, row in rows.items())
--- a/kelpjunction/fleet/machines.py
+++ b/kelpjunction/fleet/machines.py
@@ -1,9 +1,9 @@
 """Machines, their states, and every node's inventory of them.
 
-What a block's holder says of its machines lies in pages (`l/machine/<zone>/<n>`), which it alone
-writes: a page costs one change however many of its machines changed.  What the leader does with the
-cloud lies in one page (`l/cloud`, see `fleet.rental_record`): a name under `gone` there is what tells the
-holder that everything on the machine is gone.
+A block's holder publishes its machines in pages (`l/machine/<zone>/<n>`), which only it writes.  Writing
+a page costs one change, however many of its machines changed.  The leader records its rentals and returns
+in one key (`l/cloud`, see `fleet.rental_record`).  A name under `gone` there tells the holder that
+everything on the machine is gone.
 """
 
 import logging
@@ -24,21 +24,21 @@
 
 MACHINE_PREFIX = "l/machine/"
 MAX_GONE_MACHINES = 10_000
-MACHINE_ROW_BYTES = 400  # what a page allows for each machine; images beyond it are not told
+MACHINE_ROW_BYTES = 400  # allowance for each machine in a page; images beyond it are not published
 
 
 class MachineState(Enum):
-    """BOOTING -> UP <-> SILENT or LEAVING, any -> FAULTY or RETURNING -> GONE.
+    """States of a machine: BOOTING -> UP <-> SILENT or LEAVING, any -> FAULTY or RETURNING -> GONE.
 
-    `Machine.become` makes every change.
+    `Machine.become` checks and makes these changes; `Machine.copy_state` copies a state that a holder published.
     """
 
     BOOTING = "booting"
     UP = "up"
-    LEAVING = "leaving"  # the cloud gave notice that it takes it back
-    SILENT = "silent"  # it stopped reporting and does not answer
-    FAULTY = "faulty"  # it fails what others run; nothing new starts there
-    RETURNING = "returning"  # its return was asked for, and may happen at any moment
+    LEAVING = "leaving"  # the cloud gave notice that it will terminate the machine
+    SILENT = "silent"  # its reports stopped and it does not respond to probes
+    FAULTY = "faulty"  # tasks fail on it that succeed elsewhere; nothing new starts there
+    RETURNING = "returning"  # its return was decided and may happen at any moment
     GONE = "gone"
 
 
@@ -50,19 +50,23 @@
     type: str
     zone: str
     spot: bool
-    changes: ChangeTracker  # told of all that placement looks at
+    changes: ChangeTracker  # notified of each change that placement depends on
     address: str = ""
     state: MachineState = MachineState.BOOTING
     since: timedelta = ZERO
     rented_at: timedelta = ZERO
     idle_since: timedelta | None = None
     images: list[str] = field(default_factory=list)  # most recently used last
-    cleared_of: set[str] = field(default_factory=set)  # jobs that failed here before something ended well here
+    cleared_of: set[str] = field(default_factory=set)  # jobs whose failures here preceded a success here
     suspected: bool = False
     unanswered_probes: int = 0
 
     def become(self, state: MachineState, now: timedelta, reason: str = "") -> bool:
-        """The one place where a machine's state changes; whether it did."""
+        """Change the state if the transition is allowed, and return whether it changed.
+
+        Every state change that this node decides goes through here.  It is
+        logged if `reason` is given.
+        """
         if state is self.state or self.state is MachineState.GONE:
             return False
         if self.state is MachineState.RETURNING and state is not MachineState.GONE:
@@ -88,20 +92,20 @@
         self.changes.mark_changed(self.name)
 
     def copy_state(self, state: MachineState) -> bool:
-        """Take over what its block's holder says of it; whether that is news."""
+        """Copy the state that its block's holder published, and return whether it changed."""
         if self.state in (MachineState.RETURNING, state):
             return False
         self._set_state(state)
         return True
 
     def suspect(self, suspected: bool) -> None:
-        """Shun it, or no longer."""
+        """Set whether the machine is suspected of making tasks fail."""
         if suspected is not self.suspected:
             self.suspected = suspected
             self.changes.mark_changed(self.name)
 
-    def take_images(self, images: list[str]) -> None:
-        """Learn what its cache holds, most recently used last."""
+    def update_images(self, images: list[str]) -> None:
+        """Set the images in its cache, most recently used last."""
         if images != self.images:
             self.images = images
             self.changes.mark_changed(self.name)
@@ -111,19 +115,19 @@
         return self.state is MachineState.UP
 
     def row(self) -> list:
-        """This machine as its page has it, for the nodes that do not hold its block."""
-        left = MACHINE_ROW_BYTES - 120 - len(self.name) - len(self.type) - len(self.address)
-        told: list[str] = []
+        """This machine's row in its page, which nodes that do not hold its block read."""
+        bytes_left = MACHINE_ROW_BYTES - 120 - len(self.name) - len(self.type) - len(self.address)
+        published: list[str] = []
         for image in reversed(self.images):
-            left -= len(image.encode()) + 3
-            if left < 0:
+            bytes_left -= len(image.encode()) + 3
+            if bytes_left < 0:
                 break
-            told.append(image)
-        return [self.address, self.type, self.spot, self.state.value, told[::-1]]
+            published.append(image)
+        return [self.address, self.type, self.spot, self.state.value, published[::-1]]
 
 
 class Row(NamedTuple):
-    """One machine in a page."""
+    """One machine's row in a page."""
 
     address: str
     type: str
@@ -133,7 +137,7 @@
 
 
 class Inventory:
-    """All machines this node knows of: from the records, from workers' reports, from the cloud's list."""
+    """All machines that this node knows from records, workers' reports and the cloud's list."""
 
     def __init__(self, mirror: Mirror, blocks: Blocks, clock: Clock, changes: ChangeTracker) -> None:
         self._mirror = mirror
@@ -141,30 +145,31 @@
         self._blocks = blocks
         self._clock = clock
         self.machines: dict[str, Machine] = {}
-        # Machines that the cloud confirmed as gone.  Their names never come
-        # back, but reports that a cut held up and lists that lag still tell
-        # of them: without this, work would be placed on nothing.
+        # Machines that the cloud confirmed as gone.  Their names are not used
+        # again, but reports delayed by a partition and outdated lists may still
+        # contain them.  Without this, tasks would be placed on machines that
+        # no longer exist.
         self._gone: OrderedDict[str, None] = OrderedDict()
-        self.rental_record = RentalRecord()  # the leader's with the cloud, as this node knows them
-        self._pages: dict[str, dict[str, Row]] = {}
+        self.rental_record = RentalRecord()  # as this node last read it
+        self._pages_by_key: dict[str, dict[str, Row]] = {}
         self.on_gone: Callable[[str], None] = lambda machine: None
         self.on_change: Callable[[], None] = lambda: None  # a machine became usable or stopped being so
         mirror.listen(MACHINE_PREFIX, self._page_changed)
-        mirror.listen(CLOUD_KEY, self._cloud_changed)
+        mirror.listen(CLOUD_KEY, self._rental_record_changed)
 
     def gone(self, name: str) -> bool:
-        """Whether a machine was returned: whatever still tells of it is late."""
+        """Whether the cloud confirmed that a machine is gone; later reports and lists of it are outdated."""
         return name in self._gone
 
     def adopt(self, name: str, type_: str, zone: str, spot: bool, address: str) -> Machine:
-        """The machine of this name, known from now on if it was not."""
+        """Return the machine of this name, adding it if it is unknown."""
         machine = self.machines.get(name)
         if machine is None:
             now = self._clock.steady()
             machine = self.machines[name] = Machine(name, type_, zone, spot, self._changes, since=now, rented_at=now)
             self._changes.mark_changed(name)
             if name in self.rental_record.pending_returns:
-                machine.become(MachineState.RETURNING, now, "as the leader decided")
+                machine.become(MachineState.RETURNING, now, "its return was decided by the leader")
         if address:
             machine.address = address
         return machine
@@ -172,34 +177,34 @@
     def _page_changed(self, key: str, value: dict | None, version: int) -> None:
         zone, _, number = key.removeprefix(MACHINE_PREFIX).rpartition("/")
         if not zone or not number.isdigit():
-            return  # a machine's record of a version before this one: its worker tells it anew
-        old = self._pages.pop(key, {})
+            return  # a single machine's record, from an older version; its worker will report the machine again
+        old = self._pages_by_key.pop(key, {})
         if value is None:
             return
-        rows = self._pages[key] = {name: Row(*row) for name, row in value.items()}
+        rows = self._pages_by_key[key] = {name: Row(*row) for name, row in value.items()}
         for name, row in rows.items():
             if row == old.get(name) or self.gone(name):
-                continue  # a page that lags must not bring back what was returned
+                continue  # an outdated page must not bring back a returned machine
             machine = self.adopt(name, row.type, zone, row.spot, row.address)
-            # Of its own blocks a holder knows better than what it wrote down.
+            # For its own blocks, the holder's memory is newer than its stored pages.
             if self._blocks.own_grant(zone) is None:
-                machine.take_images(row.images)
+                machine.update_images(row.images)
                 if machine.copy_state(MachineState(row.state)):
                     self.on_change()
 
-    def _cloud_changed(self, key: str, value: dict | None, version: int) -> None:
+    def _rental_record_changed(self, key: str, value: dict | None, version: int) -> None:
         self.rental_record = RentalRecord.of(value)
         now = self._clock.steady()
         for name in self.rental_record.pending_returns:
             machine = self.machines.get(name)
             if machine is not None:
-                machine.become(MachineState.RETURNING, now, "as the leader decided")
+                machine.become(MachineState.RETURNING, now, "its return was decided by the leader")
         for name in self.rental_record.gone:
             if not self.gone(name):
                 self._forget(name, now)
 
     def _forget(self, name: str, now: timedelta) -> None:
-        """The cloud has confirmed that the machine, and everything on it, is gone."""
+        """Remove a machine after the cloud confirmed that it, and everything on it, is gone."""
         self._gone[name] = None
         if len(self._gone) > MAX_GONE_MACHINES:
             self._gone.popitem(last=False)
@@ -210,6 +215,6 @@
         self.on_gone(name)
 
     def pages(self, zone: str) -> dict[str, dict[str, Row]]:
-        """A block's pages, by their keys, as they are stored."""
+        """A block's stored pages, by key."""
         prefix = f"{MACHINE_PREFIX}{zone}/"
-        return {key: rows for key, rows in self._pages.items() if key.startswith(prefix)}
+        return {key: rows for key, rows in self._pages_by_key.items() if key.startswith(prefix)}
--- a/kelpjunction/fleet/states.py
+++ b/kelpjunction/fleet/states.py
@@ -1,8 +1,8 @@
-"""How many machines of each zone are in each state, kept up to date by what changed.
+"""An index of machines by zone and state, updated only for machines that changed.
 
-A zone that is lost has all its machines judged twice a second, each by the
-states of the others: counted anew each time, that grew with the square of the
-zone.
+When a zone is lost, each of its machines is checked twice a second against the
+states of the others.  Counting them again for each check took time that grew
+with the square of the zone's size.
 """
 
 from collections import Counter
@@ -15,52 +15,52 @@
 
 
 class StateIndex:
-    """Machines by zone and state, as an inventory has them."""
+    """Indexes the machines of an inventory by zone and state."""
 
     def __init__(self, changes: ChangeTracker, machines: Mapping[str, Machine]) -> None:
-        self._stale = changes.subscribe()
+        self._changed_machines = changes.subscribe()
         self._machines = machines
-        self._known: dict[str, tuple[str, MachineState]] = {}
-        self._names: dict[tuple[str, MachineState], SortedList] = {}
-        self._in_zone: Counter[str] = Counter()
-        self._in_state: Counter[MachineState] = Counter()
+        self._indexed: dict[str, tuple[str, MachineState]] = {}
+        self._names_by_zone_and_state: dict[tuple[str, MachineState], SortedList] = {}
+        self._zone_counts: Counter[str] = Counter()
+        self._state_counts: Counter[MachineState] = Counter()
 
     def names(self, zone: str, state: MachineState) -> SortedList:
-        """The machines of a zone that are in a state, by name; to be read at once."""
-        self._follow()
-        return self._names.setdefault((zone, state), SortedList())
+        """Sorted names of a zone's machines in a state.  The list is live: read it before the index changes."""
+        self._apply_changes()
+        return self._names_by_zone_and_state.setdefault((zone, state), SortedList())
 
     def count(self, state: MachineState) -> int:
-        """How many machines are in a state, wherever they are."""
-        self._follow()
-        return self._in_state[state]
+        """Number of machines in a state, in all zones."""
+        self._apply_changes()
+        return self._state_counts[state]
 
     def in_zone(self, zone: str) -> int:
-        """How many machines a zone has, in whatever state."""
-        self._follow()
-        return self._in_zone[zone]
+        """Number of machines in a zone, in any state."""
+        self._apply_changes()
+        return self._zone_counts[zone]
 
-    def _follow(self) -> None:
-        for name in self._stale:
+    def _apply_changes(self) -> None:
+        for name in self._changed_machines:
             machine = self._machines.get(name)
             now = None if machine is None else (machine.zone, machine.state)
-            before = self._known.get(name)
+            before = self._indexed.get(name)
             if now == before:
                 continue
             if before is not None:
-                self._leave(name, *before)
+                self._remove(name, *before)
             if now is not None:
-                self._enter(name, *now)
-        self._stale.clear()
+                self._add(name, *now)
+        self._changed_machines.clear()
 
-    def _enter(self, name: str, zone: str, state: MachineState) -> None:
-        self._known[name] = (zone, state)
-        self._names.setdefault((zone, state), SortedList()).add(name)
-        self._in_zone[zone] += 1
-        self._in_state[state] += 1
+    def _add(self, name: str, zone: str, state: MachineState) -> None:
+        self._indexed[name] = (zone, state)
+        self._names_by_zone_and_state.setdefault((zone, state), SortedList()).add(name)
+        self._zone_counts[zone] += 1
+        self._state_counts[state] += 1
 
-    def _leave(self, name: str, zone: str, state: MachineState) -> None:
-        del self._known[name]
-        self._names[zone, state].remove(name)
-        self._in_zone[zone] -= 1
-        self._in_state[state] -= 1
+    def _remove(self, name: str, zone: str, state: MachineState) -> None:
+        del self._indexed[name]
+        self._names_by_zone_and_state[zone, state].remove(name)
+        self._zone_counts[zone] -= 1
+        self._state_counts[state] -= 1
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -307,7 +307,7 @@
     assert [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")] == written
     worker.partitioned = True
     assert world.run(5, lambda: machine.state is MachineState.SILENT)
-    assert f"machine {worker.name} (box, a): up -> silent, no report, and no answer" in caplog.messages
+    assert f"machine {worker.name} (box, a): up -> silent, no report, and no response to a probe" in caplog.messages
 
 
 def test_probe_in_progress_counts_as_no_response():
