--- a/kelpjunction/daemon.py
+++ b/kelpjunction/daemon.py
@@ -1,4 +1,4 @@
-"""One controller node: wires the slices together and runs their loops."""
+"""One controller node: builds its components, connects them and runs their loops."""
 
 import gc
 import logging
@@ -38,15 +38,15 @@
 MIN_ROUND_PAUSE = timedelta(milliseconds=50)
 MAX_ROUND_PAUSE = timedelta(milliseconds=250)
 PAUSE_AFTER_TROUBLE = timedelta(milliseconds=250)
-FEW_SOCKETS = 20
+SMALL_POOL_SOCKETS = 20
 GC_THRESHOLDS = (20_000, 20, 50)
 SIBLING_CHECK_INTERVAL = timedelta(seconds=1)
 LEDGER_INTERVAL = timedelta(seconds=1)
-IDLE_WATCH_INTERVAL = timedelta(milliseconds=200)  # between two watches of a node that holds no block and does not lead
-WATCH_SHARE = 0.3  # of the state service's requests: what all nodes' watches may take together
-VERIFIER_REQUEST_FRACTION = 0.15  # and what their comparisons may
-STOPS_EVERY = timedelta(milliseconds=250)
-DEFERRED_ROUND_INTERVAL = timedelta(milliseconds=150)  # before the next round where the budget put something off
+IDLE_WATCH_INTERVAL = timedelta(milliseconds=200)  # for a node that holds no block and does not lead
+WATCH_REQUEST_FRACTION = 0.3  # of the state service's request rate, for the watches of all nodes together
+VERIFIER_REQUEST_FRACTION = 0.15  # of the same rate, for the mirror comparisons of all nodes together
+STOP_INTERVAL = timedelta(milliseconds=250)
+DEFERRED_ROUND_INTERVAL = timedelta(milliseconds=150)  # used when the rate limiter deferred work
 
 
 def sleep(duration: timedelta) -> None:
@@ -54,7 +54,7 @@
 
 
 class Node:
-    """The slices of one node, without servers or loops: tests drive it by hand."""
+    """The components of one node, without servers or loops, so that tests can call them directly."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         random_source: random.Random,
         spawn_exchange: Callable | None = None,
     ) -> None:
-        spawn_exchange = spawn_exchange or spawn  # for what is asked of workers and sent to them
+        spawn_exchange = spawn_exchange or spawn  # runs probes of workers and commands to them
         self.platform = platform
         self.recorder = Recorder(clock)
         self._transport = transport
@@ -83,14 +83,14 @@
         )
         changes = ChangeTracker()
         self.job_index = JobIndex(changes)
-        blame = FailureAttribution(self.job_index, clock)
+        failure_attribution = FailureAttribution(self.job_index, clock)
         self.mirror.listen(LIVE_PREFIX, self.job_index.changed)
-        requests = platform.store.rps / (len(platform.siblings) + 1)
-        self.watch_rate = requests * WATCH_SHARE
-        self.verifier = Verifier(self.store, spawn, pause, requests * VERIFIER_REQUEST_FRACTION)
+        request_rate = platform.store.rps / (len(platform.siblings) + 1)
+        self.watch_rate = request_rate * WATCH_REQUEST_FRACTION
+        self.verifier = Verifier(self.store, spawn, pause, request_rate * VERIFIER_REQUEST_FRACTION)
         incarnation = f"{random_source.getrandbits(64):016x}"
         self.leadership = Leadership(
-            platform, operators, self.store, self.mirror, clock, incarnation, self._reign_changed, self.recorder
+            platform, operators, self.store, self.mirror, clock, incarnation, self._on_leader_term_change, self.recorder
         )
         self.blocks = Blocks(platform.node, incarnation, self.store, self.mirror, clock, self.recorder)
         self.worker_registry = WorkerRegistry(
@@ -115,7 +115,7 @@
             self.worker_registry,
             self.inventory,
             clock,
-            blame,
+            failure_attribution,
             self.pause_detector,
             spawn_exchange,
             random_source,
@@ -124,7 +124,16 @@
         self.leadership.no_machine_reachable = lambda: self.machine_monitor.no_machine_reachable
         self.machine_monitor.on_reachability_change = self.leadership.run_once
         self.fleet = Fleet(
-            platform, operators, self.store, self.mirror, self.job_index, blame, self.inventory, transport, clock, pause
+            platform,
+            operators,
+            self.store,
+            self.mirror,
+            self.job_index,
+            failure_attribution,
+            self.inventory,
+            transport,
+            clock,
+            pause,
         )
         self.intake = Intake(
             platform, self.store, self.mirror, self.verifier, self.job_index, self.fleet, clock, self.recorder
@@ -138,7 +147,7 @@
             self.blocks,
             self.worker_registry,
             self.fleet,
-            blame,
+            failure_attribution,
             clock,
             changes,
         )
@@ -152,34 +161,34 @@
             self.leadership,
             self.blocks,
             self.fleet,
-            blame,
+            failure_attribution,
             clock,
             changes,
         )
         self.ledger_keeper = None
         if operators.ledger.enabled:
-            # Imported by nodes that keep a ledger only.
+            # Imported only by nodes that keep a ledger.
             from kelpjunction.ledger.writer import LedgerWriter
 
             self.ledger_keeper = LedgerWriter(
                 platform, operators.ledger, self.store, self.mirror, self.job_index, clock, watch_transport
             )
             self.leader_scheduler.team_weight_factor = self.ledger_keeper.factor
-        self.blocks.on_gain = self._gain
+        self.blocks.on_gain = self._on_block_gained
         self.blocks.on_loss = self.worker_registry.clear
         for prefix in (JOB_PREFIX, RUN_PREFIX, DISPATCH_PREFIX, SETTLED_PREFIX, BLOCK_PREFIX):
             self.mirror.listen(prefix, lambda key, value, version: self.wake.set())
         self.inventory.on_change = self.wake.set
-        self._begun: LeaderTerm | None = None
+        self._started_term: LeaderTerm | None = None
         self.rounds = 0
 
-    def _reign_changed(self, leader_term: LeaderTerm | None) -> None:
+    def _on_leader_term_change(self, leader_term: LeaderTerm | None) -> None:
         self.fleet.begin(leader_term)
         if leader_term is None and self.ledger_keeper is not None:
             self.ledger_keeper.end()
         self.wake.set()
 
-    def _gain(self, zone: str) -> None:
+    def _on_block_gained(self, zone: str) -> None:
         self.holder_scheduler.on_block_gained(zone)
         self.machine_monitor.on_block_gained(zone)
 
@@ -189,77 +198,78 @@
         return self.leadership.leader_term is not None or bool(self.blocks.held_zones())
 
     def watch_store(self) -> bool:
-        """Take in the next changes of the live keys; False if the state service was of no use."""
+        """Wait for the next changes of the live keys and apply them; False if the state service is unavailable."""
         try:
             self.mirror.watch_once()
         except StoreUnavailable as error:
-            log.debug("follow: %s", error)
+            log.debug("watch of the state service failed: %s", error)
             return False
         return True
 
     def check_in(self, body: bytes) -> tuple[int, bytes]:
-        """Answer a worker's report, or send the worker to whom it belongs."""
+        """Answer a worker's report with a status and a body, or redirect the worker to the holder of its block."""
         report = workers.parse_report(body)
         if self.inventory.gone(report.machine):
-            return 503, b"{}"  # held up in a cut: there is no such machine any more
+            return 503, b"{}"  # the report was delayed by a network partition; the machine no longer exists
         holder = self.blocks.holder(report.zone)
         if self.blocks.own_grant(report.zone) is None:
-            # Who is out of touch names nobody: two such nodes once sent the
-            # workers of both to and fro until their leases ended.
-            known = holder != self.platform.node and self.intake.fresh
-            return 421, workers.redirect_answer(holder if known else None)
+            # A node with a stale mirror names no holder. Two such nodes once redirected
+            # their workers to each other until the workers' leases ended.
+            may_redirect = holder != self.platform.node and self.intake.fresh
+            return 421, workers.redirect_answer(holder if may_redirect else None)
         if not self.intake.fresh and self.intake.sibling_has_fresh_mirror:
-            # This node alone is out of touch, so its blocks will be or are
-            # another's: the worker should look for that one at once.
+            # Only this node's mirror is stale, so another node holds its blocks or
+            # soon will. The worker should look for that node at once.
             return 503, b"{}"
         return self.worker_registry.check_in(report)
 
     def ask_siblings(self) -> None:
-        """While out of touch, ask the siblings whether they are too."""
+        """While this node's mirror is stale, ask the siblings whether theirs is fresh."""
         self.leadership.log_renewal_change()
         if self.intake.fresh:
             self.intake.sibling_has_fresh_mirror = False
             return
-        asked = (sibling_is_fresh(self._transport, sibling.address) for sibling in self.platform.siblings)
-        # One cut off from its siblings too has nobody to ask; its workers may know.
-        self.intake.sibling_has_fresh_mirror = self.worker_registry.higher_token_seen or any(asked)
+        answers = (sibling_is_fresh(self._transport, sibling.address) for sibling in self.platform.siblings)
+        # A node that cannot reach its siblings has nobody to ask, but its workers may know:
+        # a higher token that a worker has seen comes from another holder.
+        self.intake.sibling_has_fresh_mirror = self.worker_registry.higher_token_seen or any(answers)
 
     def stop_tasks(self) -> None:
-        """Tell workers to stop what must stop, whatever a round waits for."""
+        """Send workers the required stops, even while a round is waiting."""
         if self.mirror.loaded and self.blocks.held_zones():
             self.holder_scheduler.stop_required()
 
     def update_ledger(self) -> None:
-        """Close what is due in the ledger, if this node leads and keeps one."""
+        """Close the ledger periods that are due, if this node leads and keeps a ledger."""
         if self.ledger_keeper is None:
             return
         try:
             self.ledger_keeper.run_once()
         except StoreUnavailable as error:
-            log.debug("the ledger is closed later: %s", error)
+            log.debug("ledger update postponed: %s", error)
 
     def round(self) -> bool:
-        """One round as holder and, if this node leads, as leader; whether another should follow at once."""
+        """Run one round as holder and, if this node leads, as leader; True if another should follow at once."""
         try:
             if not self.mirror.loaded or not self.record_writer.resolve_unknown_outcomes():
                 return False
             self.rounds += 1
             self.record_writer.work_deferred = False
-            again = self.holder_scheduler.round()
+            run_again = self.holder_scheduler.round()
             if self.machine_monitor.changed:
                 self.machine_monitor.publish()
-            reign = self.leadership.leader_term
-            if reign is not None:
-                if self._begun is not reign:
+            leader_term = self.leadership.leader_term
+            if leader_term is not None:
+                if self._started_term is not leader_term:
                     if self.ledger_keeper is not None:
-                        self.ledger_keeper.begin(reign)
-                    self.leader_scheduler.begin(reign)
-                    self._begun = reign
-                again = self.leader_scheduler.round() or again
-            # What the budget has put off is not asked for again at once.
-            return again and not self.record_writer.work_deferred
+                        self.ledger_keeper.begin(leader_term)
+                    self.leader_scheduler.begin(leader_term)
+                    self._started_term = leader_term
+                run_again = self.leader_scheduler.round() or run_again
+            # Work that the rate limiter deferred is not retried at once.
+            return run_again and not self.record_writer.work_deferred
         except StoreUnavailable as error:
-            log.debug("round given up: %s", error)
+            log.debug("round aborted: %s", error)
             return False
 
 
@@ -272,47 +282,49 @@
         self._clock = clock or SystemClock()
         self._transport = HttpTransport()
         self._random = random.Random()
-        # Of the sockets, a quarter for what is sent to workers, a few for the
-        # store, the cloud and the siblings, and the rest for whoever connects.
-        self._outgoing = platform.max_sockets // 4
+        # A quarter of the sockets is for requests to workers and a few are for the
+        # state service, the cloud and the siblings. The rest is for incoming connections.
+        self._max_outgoing = platform.max_sockets // 4
         self.node = Node(
             platform,
             operators,
             self._transport,
-            HttpTransport(2, most=self._outgoing),
+            HttpTransport(2, max_requests=self._max_outgoing),
             HttpTransport(1),
             self._clock,
             gevent.spawn,
             sleep,
             self._random,
         )
-        self.node.mirror.listen(LEADER_KEY, self._lead_changed)
+        self.node.mirror.listen(LEADER_KEY, self._on_leader_key_change)
 
     def term(self) -> int | None:
-        """The term this node leads in, or None."""
-        reign = self.node.leadership.leader_term
-        return None if reign is None else reign.term
+        """The term in which this node leads, or None if it does not lead."""
+        leader_term = self.node.leadership.leader_term
+        return None if leader_term is None else leader_term.term
 
     def dump_decisions(self) -> None:
-        """Write the last decisions into the log."""
-        self.node.recorder.dump("asked for by a signal")
+        """Write the recorded decisions to the log."""
+        self.node.recorder.dump("dump requested by a signal")
 
     def run_forever(self) -> None:
         """Serve until the process is killed."""
-        incoming = self._platform.max_sockets - self._outgoing - 2 * FEW_SOCKETS
-        users = server(self._platform.listen_address, Application(self.node.intake, self.node.check_in), Pool(incoming))
+        incoming = self._platform.max_sockets - self._max_outgoing - 2 * SMALL_POOL_SOCKETS
+        user_server = server(
+            self._platform.listen_address, Application(self.node.intake, self.node.check_in), Pool(incoming)
+        )
         metrics = None
         if self._operators.metrics:
             from kelpjunction.metrics import Metrics
 
             metrics = Metrics(self.node)
-        peers = server(
-            self._platform.internal_address, SiblingApplication(self.node.intake, metrics), Pool(FEW_SOCKETS)
+        sibling_server = server(
+            self._platform.internal_address, SiblingApplication(self.node.intake, metrics), Pool(SMALL_POOL_SOCKETS)
         )
-        users.start()
-        peers.start()
-        # A node makes much garbage and few cycles: looking for them as often
-        # as by default took a tenth of its processor time.
+        user_server.start()
+        sibling_server.start()
+        # A node allocates many objects but few reference cycles. With the default
+        # thresholds, garbage collection took a tenth of its processor time.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
@@ -320,17 +332,17 @@
         renewal = self.node.leadership.renewal
         if renewal.grace_period_short:
             log.warning(
-                "cancel_s is little above lease_s: %.1f s without the state service end leases, and with them tasks",
+                "cancel_s is barely above lease_s: %.1f s without the state service end leases and their tasks",
                 renewal.grace_period.total_seconds(),
             )
         loops = [self._follow, self._lead, self._rounds, self._stops, self._cloud, self._watch, self._peers, self._beat]
         if self.node.ledger_keeper is not None:
             loops.append(self._keep)
-        # A loop that ends has a defect; the node goes on without hiding it.
-        gevent.joinall([gevent.spawn(self._guard, loop) for loop in loops])
+        # A loop that ends is a defect. The other loops continue and its error is not suppressed.
+        gevent.joinall([gevent.spawn(self._run_loop, loop) for loop in loops])
 
-    def _guard(self, loop: Callable[[], None]) -> None:
-        """Run a loop's turns for ever: an odd reply must never end the process."""
+    def _run_loop(self, loop: Callable[[], None]) -> None:
+        """Call a loop's body for as long as the process runs; an unexpected reply must not end the process."""
         while True:
             try:
                 loop()
@@ -338,43 +350,43 @@
                 log.exception("a turn of %s failed", loop.__name__)
                 sleep(PAUSE_AFTER_TROUBLE)
 
-    def _lead_changed(self, key: str, value: dict | None, version: int) -> None:
+    def _on_leader_key_change(self, key: str, value: dict | None, version: int) -> None:
         if value is None:
-            # Nobody leads: run at once, a little apart from the others.
+            # There is no leader. Run for leadership at once, with a random delay to spread out the nodes.
             gevent.spawn_later(self._random.uniform(0, 0.05), self.node.leadership.run_once)
 
     def _follow(self) -> None:
-        """Follow, at a pace: each change ends a watch, and opening the next is a request too."""
-        began = self._clock.steady()
-        heard = self.node.watch_store()
-        least = seconds(1 / self.node.watch_rate) if heard else PAUSE_AFTER_TROUBLE
-        if heard and not self.node.busy:
-            # Nothing is decided here: its share of the requests is left to
-            # those that hold blocks.
-            least = max(least, IDLE_WATCH_INTERVAL)
-        sleep(max(ZERO, began + least - self._clock.steady()) if heard else least)
+        """Watch the state service at a limited rate: each change ends a watch, and the next watch is a new request."""
+        started_at = self._clock.steady()
+        succeeded = self.node.watch_store()
+        interval = seconds(1 / self.node.watch_rate) if succeeded else PAUSE_AFTER_TROUBLE
+        if succeeded and not self.node.busy:
+            # This node makes no decisions now, so it leaves its share of the
+            # requests to the nodes that hold blocks.
+            interval = max(interval, IDLE_WATCH_INTERVAL)
+        sleep(max(ZERO, started_at + interval - self._clock.steady()) if succeeded else interval)
 
     def _lead(self) -> None:
-        done = self.node.leadership.run_once()
-        # A node that starts joins as soon as it has read the live keys: its
-        # blocks' workers wait for nothing else.  What was refused is asked for
-        # again soon, or the hold would end for a few refusals.
-        beat = self.node.leadership.heartbeat_interval
-        sleep((beat if done else beat / 4) if self.node.mirror.loaded else MIN_ROUND_PAUSE)
+        succeeded = self.node.leadership.run_once()
+        # A starting node joins as soon as it has read the live keys, because the
+        # workers of its blocks wait only for that. A refused request is retried
+        # soon; otherwise a few refusals would end the store lease.
+        interval = self.node.leadership.heartbeat_interval
+        sleep((interval if succeeded else interval / 4) if self.node.mirror.loaded else MIN_ROUND_PAUSE)
 
     def _rounds(self) -> None:
-        """A round on every event; a long one is followed by a pause twice as long, in which all else is served."""
-        most = DEFERRED_ROUND_INTERVAL if self.node.record_writer.work_deferred else self._operators.round_interval
-        self.node.wake.wait(most.total_seconds())
+        """Run a round on every event, then pause twice as long as it took, within bounds, to let other work run."""
+        max_wait = DEFERRED_ROUND_INTERVAL if self.node.record_writer.work_deferred else self._operators.round_interval
+        self.node.wake.wait(max_wait.total_seconds())
         self.node.wake.clear()
-        began = self._clock.steady()
+        started_at = self._clock.steady()
         if self.node.round():
             self.node.wake.set()
-        sleep(min(max(MIN_ROUND_PAUSE, 2 * (self._clock.steady() - began)), MAX_ROUND_PAUSE))
+        sleep(min(max(MIN_ROUND_PAUSE, 2 * (self._clock.steady() - started_at)), MAX_ROUND_PAUSE))
 
     def _stops(self) -> None:
         self.node.stop_tasks()
-        sleep(STOPS_EVERY)
+        sleep(STOP_INTERVAL)
 
     def _cloud(self) -> None:
         self.node.fleet.run_once()
@@ -393,6 +405,5 @@
         sleep(HEARTBEAT_INTERVAL)
 
     def _peers(self) -> None:
-        """While out of touch, ask the siblings whether they are too."""
         sleep(SIBLING_CHECK_INTERVAL)
         self.node.ask_siblings()
--- a/kelpjunction/http.py
+++ b/kelpjunction/http.py
@@ -1,4 +1,4 @@
-"""The two HTTP faces of a node: `listen_address` for users and workers, and the siblings' one."""
+"""The two HTTP servers of a node: one for users and workers, one for sibling nodes and metrics."""
 
 import logging
 import math
@@ -20,7 +20,7 @@
 
 log = logging.getLogger("http")
 
-_REASONS = {
+_STATUS_LINES = {
     200: "200 OK",
     201: "201 Created",
     400: "400 Bad Request",
@@ -40,14 +40,14 @@
     if answer.retry_after is not None:
         headers.append(("Retry-After", str(math.ceil(answer.retry_after.total_seconds()))))
     if answer.status == 400:
-        # What follows a body that was not read to its end can't be trusted.
+        # The body may not have been read to its end. The bytes that follow cannot be trusted as a request.
         headers.append(("Connection", "close"))
-    start_response(_REASONS[answer.status], headers)
+    start_response(_STATUS_LINES[answer.status], headers)
     return [answer.body]
 
 
 def body_of(environ: dict) -> bytes:
-    """The request's body; an oversized one is refused without reading it all."""
+    """Read a request's body; an oversized one raises `MalformedMessage` without being read completely."""
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
@@ -62,24 +62,24 @@
 
 
 class Headers(dict):
-    """A request's headers by lower-case name, as `WSGIHandler` asks for them.
+    """A request's headers by lower-case name, with the interface that `WSGIHandler` expects.
 
-    The standard library's are e-mail messages, whose parser takes most of the
-    time that an exchange of a few hundred bytes costs.  What that one lets
-    pass is refused here: a line that continues the one before, a name with a
-    space, two lengths that differ.
+    The standard library parses headers as an e-mail message. That parser takes
+    most of the time of an exchange of a few hundred bytes. It also accepts
+    continuation lines, names with spaces and conflicting Content-Length
+    headers, all of which are rejected here.
     """
 
-    MOST_BYTES = 16_384
+    MAX_BYTES = 16_384
     status = ""
 
     @classmethod
     def read(cls, stream, *_) -> "Headers":
-        """Read to the empty line; `status` tells what is wrong with them, if anything is."""
+        """Read headers up to the empty line; `status` is empty or describes what is wrong with them."""
         headers = cls()
-        left = cls.MOST_BYTES
-        while line := stream.readline(left):
-            left -= len(line)
+        remaining = cls.MAX_BYTES
+        while line := stream.readline(remaining):
+            remaining -= len(line)
             if line in (b"\r\n", b"\n"):
                 return headers
             name, colon, value = line.decode("latin-1").partition(":")
@@ -89,10 +89,10 @@
             elif name not in headers:
                 headers[name] = value
             elif name == "content-length" and headers[name] != value:
-                headers.status = "two lengths"
+                headers.status = "conflicting Content-Length headers"
             elif name != "content-length":
                 headers[name] += f",{value}"
-        headers.status = "headers without end" if left > 0 else "headers too long"
+        headers.status = "headers end without an empty line" if remaining > 0 else "headers too long"
         return headers
 
     def get(self, name: str, default=None):
@@ -106,11 +106,11 @@
 
 
 class Handler(WSGIHandler):
-    """One connection, with what `WSGIHandler` does for each request cut to what this service needs.
+    """One connection, with the work of `WSGIHandler` for each request reduced to what this service needs.
 
-    There is no access log, so its lines are not put together either; headers
-    are read by `Headers`; and an answer leaves in one piece, since each send
-    is a call and a packet.
+    Access log lines are not formatted, because there is no access log. `Headers`
+    reads the headers. A response is sent in one piece, because each send costs
+    a system call and a packet.
     """
 
     def MessageClass(self, *args) -> Headers:
@@ -132,7 +132,7 @@
 
 
 def server(address: str, application: Callable, pool: Pool) -> WSGIServer:
-    """A server on this address, not started yet; `pool` bounds its connections."""
+    """Create a server for `address` without starting it; `pool` limits its connections."""
     host, _, port = address.rpartition(":")
     return WSGIServer(
         (host, int(port)),
@@ -146,7 +146,7 @@
 
 
 class Application:
-    """What users, workers and the load balancer reach."""
+    """The WSGI application for users, workers and the load balancer."""
 
     def __init__(self, intake: Intake, check_in: Callable[[bytes], tuple[int, bytes]]) -> None:
         self._intake = intake
@@ -186,7 +186,7 @@
 
 
 class SiblingApplication:
-    """What siblings may ask, whether this node hears the state service; and its metrics, if there are any."""
+    """The WSGI application for siblings: whether this node's mirror is fresh, and its metrics if they are enabled."""
 
     def __init__(self, intake: Intake, metrics: "Metrics | None" = None) -> None:
         self._intake = intake
@@ -196,7 +196,7 @@
         if environ["PATH_INFO"] == METRICS_PATH and self._metrics is not None:
             text = self._metrics.text()
             start_response(
-                _REASONS[200], [("Content-Type", self._metrics.content_type), ("Content-Length", str(len(text)))]
+                _STATUS_LINES[200], [("Content-Type", self._metrics.content_type), ("Content-Length", str(len(text)))]
             )
             return [text]
         if environ["PATH_INFO"] != PEER_PATH:
@@ -205,7 +205,7 @@
 
 
 def sibling_is_fresh(transport: Transport, address: str) -> bool:
-    """Whether a sibling answers and hears the state service."""
+    """Whether a sibling answers and has a fresh mirror."""
     try:
         reply = transport.request(address, "GET", PEER_PATH, None, timedelta(seconds=1))
     except NoResponse:
--- a/kelpjunction/settings.py
+++ b/kelpjunction/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' own (JSON with a schema)."""
+"""Loads and checks the platform's settings file (TOML) and the operators' settings file (JSON with a schema)."""
 
 import math
 import tomllib
@@ -16,12 +16,12 @@
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; the text names the field."""
+    """A settings file is missing, malformed or inconsistent; the message names the file and any wrong field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sibling:
-    """Another controller node."""
+    """Another controller node: its name, zone and internal address."""
 
     node: str
     zone: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team's guarantee and limit; None means none is set."""
+    """A team's guarantee and limit; a limit of None means that the team has no limit."""
 
     name: str
     cpus: float
@@ -40,13 +40,13 @@
 
     @property
     def without_guarantee(self) -> bool:
-        """Whether the team is guaranteed nothing: it uses what others leave."""
+        """Whether the team has no guarantee and so uses only capacity that other teams leave free."""
         return not self.cpus and not self.gpus
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerTimes:
-    """The workers' clockwork."""
+    """The intervals and timeouts of workers."""
 
     report: timedelta
     lease: timedelta
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What the state service allows."""
+    """Limits of the state service: requests and writes per second, value size and operations per transaction."""
 
     rps: float
     write_rps: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudLimits:
-    """What the cloud allows and how far its list lags."""
+    """The cloud's request limit per second and the lag of its machine list."""
 
     rps: float
     list_lag: timedelta
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Everything the platform's file says, in our own terms."""
+    """The contents of the platform's settings file, under the names used in this code."""
 
     node: str
     zone: str
@@ -86,7 +86,7 @@
     store_address: str
     zones: tuple[str, ...]
     teams: dict[str, Team]
-    classes_with_objectives: frozenset[str]  # the classes of jobs that the objectives name
+    classes_with_objectives: frozenset[str]  # the job classes that the objectives name
     workers: WorkerTimes
     store: StoreLimits
     cloud: CloudLimits
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """How usage counts against teams; the schema holds the defaults."""
+    """How the ledger charges usage to teams; the schema holds the defaults."""
 
     enabled: bool
     half_life: timedelta
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """The operators' own settings; the schema holds the defaults."""
+    """The operators' settings; the schema holds the defaults."""
 
     class_weights: dict[str, float]
     urgency_weights: dict[str, float]
@@ -126,12 +126,12 @@
 
     @property
     def records_machine_time(self) -> bool:
-        """Whether jobs' records tell how long their tasks hold their places."""
+        """Whether job records include how long their tasks occupied machines."""
         return self.ledger.enabled
 
 
 _NUMBER = {"type": "number", "minimum": 0, "maximum": 1e12}
-_SOME = {"type": "number", "exclusiveMinimum": 0, "maximum": 1e12}
+_POSITIVE = {"type": "number", "exclusiveMinimum": 0, "maximum": 1e12}
 _ONE_OR_MORE = {"type": "number", "minimum": 1, "maximum": 1e12}
 _NAME = {"type": "string", "minLength": 1, "maxLength": 100}
 _ADDRESS = {"type": "string", "pattern": "^[0-9.]+:[0-9]{1,5}$"}
@@ -159,14 +159,14 @@
                     ),
                 },
                 "workers": _object(
-                    dict.fromkeys(("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"), _SOME)
+                    dict.fromkeys(("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"), _POSITIVE)
                 ),
-                # A launch takes a chunk, an end up to three keys: fewer changes a transaction can't work.
+                # A start writes one chunk and the end of a job up to three keys, so fewer operations cannot work.
                 "state": _object(
                     dict.fromkeys(("rps", "write_rps", "value_kb"), _ONE_OR_MORE)
                     | {"txn_ops": {"type": "number", "minimum": 4, "maximum": 1e6}}
                 ),
-                "cloud": _object({"rps": _SOME, "list_lag_s": _NUMBER}),
+                "cloud": _object({"rps": _POSITIVE, "list_lag_s": _NUMBER}),
             },
             {
                 "objectives": {"type": "array", "items": _object({}, {"class": _NAME})},
@@ -184,7 +184,7 @@
 
 
 def load_platform_settings(path: str | Path) -> PlatformSettings:
-    """Read and check the platform's file; unknown fields are ignored."""
+    """Read and check the platform's settings file, ignoring unknown fields; raises `SettingsError`."""
     try:
         raw = tomllib.loads(Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -194,7 +194,7 @@
     except fastjsonschema.JsonSchemaValueException as error:
         raise SettingsError(f"{path}: {error.message.removeprefix('data.')}") from error
     params = raw["params"]
-    _check_names(path, raw)
+    _check_consistency(path, raw)
     workers, store, cloud = params["workers"], params["state"], params["cloud"]
     return PlatformSettings(
         node=raw["node"],
@@ -220,8 +220,8 @@
     )
 
 
-def _check_names(path: str | Path, raw: dict) -> None:
-    """Refuse what the schema can't see: a zone nobody knows, a name that stands twice, a limit below its guarantee."""
+def _check_consistency(path: str | Path, raw: dict) -> None:
+    """Check what the schema cannot: worker times, unknown zones, duplicate names and limits below guarantees."""
     params = raw["params"]
     siblings = raw.get("siblings", ())
     lease, cancel = (seconds(params["workers"][name]) for name in ("lease_s", "cancel_s"))
@@ -234,9 +234,9 @@
             raise SettingsError(f"{path}: {name} must be one of params.zones, not {zone!r}")
     nodes = [raw["node"], *(s["node"] for s in siblings)]
     teams = [t["name"] for t in params["teams"]]
-    for what, names in (("node", nodes), ("params.teams name", teams)):
+    for field, names in (("node", nodes), ("params.teams name", teams)):
         for name in {n for n in names if names.count(n) > 1}:
-            raise SettingsError(f"{path}: {what} {name!r} stands twice")
+            raise SettingsError(f"{path}: {field} {name!r} is defined more than once")
     for team in params["teams"]:
         for amount in ("cpus", "gpus"):
             limit = team.get(f"{amount}_max") or math.inf
@@ -255,7 +255,7 @@
 
 
 def load_operator_settings(path: str | Path | None) -> OperatorSettings:
-    """Read and check the operators' file; without one, the schema's defaults apply."""
+    """Read and check the operators' settings file; raises `SettingsError`. Without a file, the defaults apply."""
     try:
         raw = {} if path is None else orjson.loads(Path(path).read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
--- a/kelpjunction/transport.py
+++ b/kelpjunction/transport.py
@@ -1,4 +1,4 @@
-"""HTTP from this process to others: one JSON request, one JSON reply."""
+"""HTTP client for requests to other processes: one JSON request, one JSON reply."""
 
 from collections import Counter, OrderedDict
 from datetime import timedelta
@@ -12,48 +12,49 @@
 
 
 class NoResponse(Exception):
-    """No reply came; the request may have been carried out, now or later."""
+    """No reply was received; the request may have been carried out or may be carried out later."""
 
 
 class Reply(NamedTuple):
-    """A status and the JSON object in the body, empty where there was none."""
+    """The HTTP status and the JSON object in the body, which is empty if the body held none."""
 
     status: int
     fields: dict
 
 
 class Transport(Protocol):
-    """How slices reach other processes; tests pass a simulated one."""
+    """Sends requests to other processes; tests pass a simulated transport."""
 
     def request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply: ...
 
 
 class HttpTransport:
-    """Keep-alive connections by way of geventhttpclient, a few per address.
+    """Keep-alive connections through geventhttpclient, a few for each address.
 
-    With `most`, at most so many requests are under way at once and about so
-    many addresses keep a connection: a node that serves every machine has as
-    many sockets taken by those that report to it.
+    `connections` limits the connections to one address. `max_requests` limits
+    the concurrent requests, and approximately the number of addresses that keep
+    a connection open. The limit matters for a node that serves every machine:
+    the workers' reports take as many of its sockets again.
     """
 
-    def __init__(self, connections: int = 4, most: int | None = None) -> None:
+    def __init__(self, connections: int = 4, max_requests: int | None = None) -> None:
         self._connections = connections
-        self._most = most
-        self._places = None if most is None else BoundedSemaphore(most)
+        self._max_requests = max_requests
+        self._request_slots = None if max_requests is None else BoundedSemaphore(max_requests)
         self._clients: OrderedDict[str, HTTPClient] = OrderedDict()  # least recently used first
-        self._busy: Counter[str] = Counter()
+        self._active_requests: Counter[str] = Counter()
 
     def request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
-        if self._places is not None and not self._places.acquire(timeout=timeout.total_seconds()):
-            raise NoResponse(f"{method} {address}{path}: too many requests under way")
-        self._busy[address] += 1
+        if self._request_slots is not None and not self._request_slots.acquire(timeout=timeout.total_seconds()):
+            raise NoResponse(f"{method} {address}{path}: no request slot became free within the timeout")
+        self._active_requests[address] += 1
         try:
             return self._request(address, method, path, body, timeout)
         finally:
-            self._busy[address] -= 1
-            if self._places is not None:
-                self._places.release()
-                self._let_go()
+            self._active_requests[address] -= 1
+            if self._request_slots is not None:
+                self._request_slots.release()
+                self._close_idle_clients()
 
     def _request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
         client = self._clients.get(address) or self._connect(address)
@@ -63,19 +64,19 @@
                 headers = {"Content-Type": "application/json"} if body else {}
                 response = client.request(method, path, body=body or b"", headers=headers)
                 content = bytes(response.read())
-                return Reply(response.status_code, _object(content))
+                return Reply(response.status_code, _parse_object(content))
         except (gevent.Timeout, OSError, HTTPParseError, ValueError) as error:
-            # A request that was cut short may leave its slot in the pool
-            # taken: the next one starts with a fresh pool.
+            # An aborted request may leave its slot in the client's pool occupied,
+            # so the next request uses a new client with a new pool.
             if self._clients.get(address) is client:
                 del self._clients[address]
             raise NoResponse(f"{method} {address}{path}: {error!r}") from error
 
-    def _let_go(self) -> None:
-        """Close the connections that were idle for longest, while there are too many."""
-        self._busy = +self._busy
-        for address in list(self._clients)[: max(0, len(self._clients) - self._most)]:
-            if not self._busy[address]:
+    def _close_idle_clients(self) -> None:
+        """Close the least recently used idle connections while there are too many."""
+        self._active_requests = +self._active_requests
+        for address in list(self._clients)[: max(0, len(self._clients) - self._max_requests)]:
+            if not self._active_requests[address]:
                 self._clients.pop(address).close()
 
     def _connect(self, address: str) -> HTTPClient:
@@ -90,7 +91,7 @@
         return client
 
 
-def _object(content: bytes) -> dict:
+def _parse_object(content: bytes) -> dict:
     try:
         fields = orjson.loads(content) if content else {}
     except orjson.JSONDecodeError:
