--- a/kelpjunction/__main__.py
+++ b/kelpjunction/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kelpjunction`."""
+"""Entry point of `python -m kelpjunction`."""
 
 from kelpjunction.cli import main
 
--- a/kelpjunction/changes.py
+++ b/kelpjunction/changes.py
@@ -1,22 +1,23 @@
-"""Names of things that changed, kept apart for each slice that follows them.
+"""Tracks the names of changed objects, separately for each component that subscribes.
 
-A round that looks at everything costs what the fleet holds; one that looks at
-the names in its set costs what happened since the last.
+The cost of a round that examines everything grows with the size of the fleet.
+A round that examines only the names in its set costs as much as has changed
+since the last round.
 """
 
 
 class ChangeTracker:
-    """Tells each follower which names have changed since it last emptied its set."""
+    """Adds each changed name to the set of every subscriber."""
 
     def __init__(self) -> None:
-        self._followers: list[set[str]] = []
+        self._subscribers: list[set[str]] = []
 
     def subscribe(self) -> set[str]:
-        """A set that every changed name is put into; its owner takes names out."""
+        """Return a new set that receives every changed name; the subscriber removes the names that it has handled."""
         names: set[str] = set()
-        self._followers.append(names)
+        self._subscribers.append(names)
         return names
 
     def mark_changed(self, name: str) -> None:
-        for names in self._followers:
+        for names in self._subscribers:
             names.add(name)
--- a/kelpjunction/clock.py
+++ b/kelpjunction/clock.py
@@ -1,8 +1,8 @@
 """The two clocks of a process, in the standard library's types.
 
-Leases and timeouts are reckoned on the steady clock (a `timedelta` since an
-arbitrary start); deadlines, which other nodes must understand, on the time of
-day.  Both are passed in, so that a test can replay a trace.
+Leases and timeouts use the steady clock (a `timedelta` since an arbitrary
+start). Deadlines use the time of day, because other nodes must understand them.
+Both clocks are passed in, so that a test can replay a trace.
 """
 
 import logging
@@ -19,7 +19,7 @@
 
 
 class Clock(Protocol):
-    """What a slice may ask of time."""
+    """The clocks that a component may read: a monotonic one and the time of day in UTC."""
 
     def steady(self) -> timedelta: ...
 
@@ -37,24 +37,25 @@
 
 
 class PauseDetector:
-    """Since when this process ran without standing still: `heartbeat` wants to be called every `HEARTBEAT_INTERVAL`.
+    """Tracks since when this process has run without a pause.
 
-    A process may be stopped for seconds or minutes while its clocks run on.
-    Whoever judges others by their silence must not count that time.
+    `heartbeat` must be called every `HEARTBEAT_INTERVAL`. A process may be
+    stopped for seconds or minutes while its clocks advance. Code that judges
+    other processes by their silence must not count that time.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._beat_at = self.running_since = clock.steady()
+        self._last_heartbeat_at = self.running_since = clock.steady()
 
     def heartbeat(self) -> None:
         now = self._clock.steady()
-        if now - self._beat_at > PAUSE_DETECTION_THRESHOLD:
-            log.info("this node stood still for %.1f s", (now - self._beat_at).total_seconds())
+        if now - self._last_heartbeat_at > PAUSE_DETECTION_THRESHOLD:
+            log.info("this process was paused for %.1f s", (now - self._last_heartbeat_at).total_seconds())
             self.running_since = now
-        self._beat_at = now
+        self._last_heartbeat_at = now
 
 
 def seconds(value: float) -> timedelta:
-    """A duration from the wire or the settings."""
+    """Convert a number of seconds from the wire or the settings to a duration."""
     return timedelta(seconds=value)
--- a/kelpjunction/metrics.py
+++ b/kelpjunction/metrics.py
@@ -1,6 +1,6 @@
-"""`/metrics` in Prometheus' text format: what a node has done and how it stands, read when asked.
+"""`/metrics` in Prometheus' text format: a node's counters and current state, read at each request.
 
-Imported only by nodes whose operators turn it on.
+Imported only if the operators enable metrics.
 """
 
 from collections.abc import Iterator, Mapping
@@ -18,7 +18,7 @@
 
 
 class Metrics:
-    """A node's figures; nothing is counted here that the slices do not count themselves."""
+    """The metrics of a node; all values come from its components and nothing is counted here."""
 
     content_type = CONTENT_TYPE_PLAIN_0_0_4
 
@@ -28,11 +28,11 @@
         self._registry.register(self)
 
     def text(self) -> bytes:
-        """All of them as Prometheus reads them."""
+        """Return all metrics in Prometheus' text format."""
         return generate_latest(self._registry)
 
     def describe(self) -> list[Metric]:
-        return []  # so that nothing is read before the node runs
+        return []  # otherwise registering would call `collect` before the node runs
 
     def collect(self) -> Iterator[Metric]:
         node = self._node
@@ -54,33 +54,35 @@
         yield GaugeMetricFamily("kelpjunction_workers_deaf", "Of those, not reached from here.", unreachable)
         yield CounterMetricFamily("kelpjunction_store_requests", "Sent to the state service.", node.store.requests)
         yield CounterMetricFamily("kelpjunction_store_refusals", "Of those, answered 429.", node.store.refusals)
-        budget = node.store.rate_limiter
+        rate_limiter = node.store.rate_limiter
         yield GaugeMetricFamily(
             "kelpjunction_store_short",
             "1 while changes wait or were refused.",
-            budget.state is not LimiterState.UNTHROTTLED,
+            rate_limiter.state is not LimiterState.UNTHROTTLED,
         )
         for name, text, counts in (
-            ("kelpjunction_store_changes", "Changes sent to the state service, by purpose.", budget.spent),
-            ("kelpjunction_store_put_off", "Times that a purpose had to wait for its turn.", budget.denied),
-            ("kelpjunction_store_refused_writes", "Writes answered 429, by purpose.", budget.refusals),
+            ("kelpjunction_store_changes", "Changes sent to the state service, by purpose.", rate_limiter.spent),
+            ("kelpjunction_store_put_off", "Times that a purpose had to wait for its turn.", rate_limiter.denied),
+            ("kelpjunction_store_refused_writes", "Writes answered 429, by purpose.", rate_limiter.refusals),
         ):
-            yield _by(name, text, "purpose", counts)
+            yield _labelled_counter(name, text, "purpose", counts)
         yield CounterMetricFamily(
             "kelpjunction_starts", "Starts sent straight to workers.", node.worker_registry.starts
         )
         yield CounterMetricFamily("kelpjunction_stops", "Stops sent straight to workers.", node.worker_registry.stops)
         decisions = node.worker_registry.decisions
-        yield _by("kelpjunction_settled", "Placements that ended, by cause.", "cause", decisions.causes)
-        yield _by("kelpjunction_settled_by", "The same, by what proved it.", "ground", decisions.grounds)
-        yield _by("kelpjunction_starts_said", "Starts said to workers, by way.", "way", decisions.ways)
-        yield _by("kelpjunction_reports_refused", "Reports that got no 200, by ground.", "ground", decisions.refusals)
+        yield _labelled_counter("kelpjunction_settled", "Placements that ended, by cause.", "cause", decisions.causes)
+        yield _labelled_counter("kelpjunction_settled_by", "The same, by what proved it.", "ground", decisions.grounds)
+        yield _labelled_counter("kelpjunction_starts_said", "Starts said to workers, by way.", "way", decisions.ways)
+        yield _labelled_counter(
+            "kelpjunction_reports_refused", "Reports that got no 200, by ground.", "ground", decisions.refusals
+        )
         if node.ledger_keeper is not None:
             yield GaugeMetricFamily("kelpjunction_ledger_entry", "The last entry known.", node.ledger_keeper.entry)
 
 
-def _by(name: str, text: str, label: str, counts: Mapping[Enum, float]) -> CounterMetricFamily:
-    """A counter for each member of an enumeration that something was counted of."""
+def _labelled_counter(name: str, text: str, label: str, counts: Mapping[Enum, float]) -> CounterMetricFamily:
+    """Build a counter with one labelled value for each enumeration member in `counts`."""
     family = CounterMetricFamily(name, text, labels=[label])
     for member, count in counts.items():
         family.add_metric([member.value], count)
--- a/run.py
+++ b/run.py
@@ -1,7 +1,7 @@
 """Start one kelpjunction controller: `python3 run.py --config SETTINGS.toml`.
 
-What the operators set for all controllers is in `deploy/operators.json`, if
-there is one; `--operators` and `KELPJUNCTION_OPERATORS` name another.
+The operators' settings for all controllers are read from `deploy/operators.json`
+if that file exists. `--operators` and `KELPJUNCTION_OPERATORS` name another file.
 """
 
 import os
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).resolve().parent
 
 # The build step leaves a byte-compiled copy of the package and its
-# dependencies under target/; a plain checkout runs from its own sources.
+# dependencies under target/; a checkout without them runs from its sources.
 for folder in (ROOT, ROOT / "target" / "deps", ROOT / "target" / "app"):
     if folder.is_dir():
         sys.path.insert(0, str(folder))
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -12,7 +12,7 @@
 from kelpjunction.cli.serve import dump_on_signal
 from kelpjunction.lab.world import SimClock, seconds
 from kelpjunction.metrics import Metrics
-from kelpjunction.recorder import DUMPS_APART, Recorder
+from kelpjunction.recorder import MIN_DUMP_INTERVAL, Recorder
 from kelpjunction.wire.messages import ExitCause, Report, TaskId, TaskReport, TaskState
 from kelpjunction.workers.events import Ground, Impossible, SessionBelieved, SessionChanged, Settled, StartSaid, Way
 from kelpjunction.workers.reachability import Evidence
@@ -99,7 +99,7 @@
         recorder.contradiction(finding, lambda event: True)
     assert len([m for m in caplog.messages if "decisions follow" in m]) == 1
     assert len(list(recorder.events())) == 3, "the oldest go"
-    clock.now += DUMPS_APART + seconds(0.1)
+    clock.now += MIN_DUMP_INTERVAL + seconds(0.1)
     recorder.contradiction(finding, lambda event: True)
     assert len([m for m in caplog.messages if "decisions follow" in m]) == 2
 
