--- a/kelpjunction/ledger/__init__.py
+++ b/kelpjunction/ledger/__init__.py
@@ -1,14 +1,14 @@
-"""The fair-share ledger: what each team held, fading, and what that does to its work beyond its guarantee.
+"""The fair-share ledger: each team's decaying usage, and the priority factor for its work beyond its guarantee.
 
-`decay` is the arithmetic, `accounts` what an entry does to the balances and
-how entries are chained; both are pure and use whole numbers only.  `writer`
-is the leader's part: it closes stretches of time under `l/lead`'s guard.
+`decay` has the arithmetic.  `accounts` defines how an entry changes the
+balances and how entries are chained.  Both do no I/O and use integers only.
+`writer` runs on the leader: it closes periods of time, guarded by `l/lead`.
 `reader`, `audit`, `archive` and `report` serve the operators' commands and are
 never imported by a node.
 
-What a job has held until a moment follows from its records (`Job.machine_time_ms`), so
-an entry charges the difference between what the records say now and what they
-said at the entry before.  Nothing is added up from observed events: whoever
-dies, stands still or writes with an unknown outcome, the next entry charges
-what is missing, once.
+The machine time of a job up to a given time follows from the job's records
+(`Job.machine_time_ms`).  An entry charges the difference between the machine
+time in the records now and at the previous entry.  Nothing is summed from
+observed events.  If a process dies or pauses, or a write has an unknown
+outcome, the next entry charges the missing time exactly once.
 """
--- a/kelpjunction/ledger/accounts.py
+++ b/kelpjunction/ledger/accounts.py
@@ -1,10 +1,10 @@
-"""Balances, the entries that change them, and the chain of entries.  Pure.
+"""Balances, the entries that change them, and the chain of entries.  This module does no I/O.
 
 Machine time is counted for each resource in thousandths of a unit times
-milliseconds (`ResourceTime`); a charge weighs the resources and is one number.
-Teams' balances are kept in pages, each of which is closed by itself, so that
-an entry and a page fit the state service's values however many teams there
-are.
+milliseconds (`ResourceTime`).  A charge is one number: the weighted sum of the
+resources.  Teams' balances are kept in pages, and each page is closed
+separately.  This way an entry and a page fit into a value of the state service
+for any number of teams.
 """
 
 import hashlib
@@ -18,15 +18,15 @@
 from kelpjunction.ledger.decay import FIXED_POINT_ONE, decay, factor
 from kelpjunction.settings import LedgerSettings, Team
 
-THOUSAND = 1000
-UNIT_HOUR = 3_600_000 * THOUSAND  # of one unit of a resource, as `ResourceTime` count it
-GENESIS = ""  # what the first entry follows
-ROW_BYTES = 160  # at most what a team's row takes in an entry or a page, beside its name
-PAGE_SHARE = 0.9  # of a value's limit that rows may take
+THOUSANDTHS_PER_UNIT = 1000  # amounts are stored in thousandths of a unit
+UNIT_HOUR = 3_600_000 * THOUSANDTHS_PER_UNIT  # one unit of a resource for an hour, as `ResourceTime` counts it
+GENESIS = ""  # the `prev` hash of the first entry
+MAX_ROW_BYTES = 160  # of one team's row in an entry or a page, without the team's name
+MAX_ROWS_FRACTION = 0.9  # of the size limit of a value
 
 
 class LedgerError(Exception):
-    """A record or a file is not what the ledger writes; the text names the place."""
+    """A ledger operation failed, or a file is not a valid ledger; the text says why."""
 
 
 class ResourceTime(NamedTuple):
@@ -44,13 +44,13 @@
 
 
 def resource_time(cpus: float, gpus: float, memory: float, ms: int) -> ResourceTime:
-    """What tasks of this size held, together, in so many task-milliseconds."""
-    return ResourceTime(*(round(each * THOUSAND) * ms for each in (cpus, gpus, memory)))
+    """The machine time of tasks of this size that ran for `ms` task-milliseconds in all; `memory` is in GB."""
+    return ResourceTime(*(round(each * THOUSANDTHS_PER_UNIT) * ms for each in (cpus, gpus, memory)))
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The operators' settings as entries carry them, in whole numbers."""
+    """The operators' ledger settings as stored in entries, in whole numbers."""
 
     half_life: int  # ms
     form: str
@@ -60,9 +60,11 @@
 
     @classmethod
     def of(cls, settings: LedgerSettings, teams: Mapping[str, Team]) -> "Policy":
-        weights = tuple(round(settings.weights[name] * THOUSAND) for name in ("cpu", "accelerator", "memory_gb"))
+        weights = tuple(
+            round(settings.weights[name] * THOUSANDTHS_PER_UNIT) for name in ("cpu", "accelerator", "memory_gb")
+        )
         guaranteed = [s for t in teams.values() if (s := _guarantee(t, weights)) > 0]
-        smallest = min(guaranteed, default=THOUSAND)
+        smallest = min(guaranteed, default=THOUSANDTHS_PER_UNIT)
         return cls(
             half_life=settings.half_life // MILLISECOND,
             form=settings.form,
@@ -72,14 +74,18 @@
         )
 
     def share(self, team: Team | None) -> int:
-        """What a team's usage is measured against: its guarantee; a guest's, or a removed team's, is set apart."""
+        """The share that a team's usage is compared with, in thousandths of a weighted CPU.
+
+        It is the team's guarantee.  A team without one, or one that was removed
+        from the settings (None), gets `share_without_guarantee`.
+        """
         share = 0 if team is None else _guarantee(team, self.weights)
         return share or self.share_without_guarantee
 
     def charge(self, amounts: ResourceTime) -> int:
-        """One number for machine time, in thousandths of a weighted CPU times milliseconds."""
+        """The weighted sum of machine time, in thousandths of a weighted CPU times milliseconds."""
         cpu, gpu, memory = self.weights
-        return (cpu * amounts.cpus + gpu * amounts.gpus + memory * amounts.memory) // THOUSAND
+        return (cpu * amounts.cpus + gpu * amounts.gpus + memory * amounts.memory) // THOUSANDTHS_PER_UNIT
 
     def record(self) -> dict:
         return {
@@ -95,11 +101,13 @@
 
 
 def _guarantee(team: Team, weights: tuple[int, ...]) -> int:
-    return (round(team.cpus * THOUSAND) * weights[0] + round(team.gpus * THOUSAND) * weights[1]) // THOUSAND
+    return (
+        round(team.cpus * THOUSANDTHS_PER_UNIT) * weights[0] + round(team.gpus * THOUSANDTHS_PER_UNIT) * weights[1]
+    ) // THOUSANDTHS_PER_UNIT
 
 
 class Balance(NamedTuple):
-    """A team's account at its page's last closing: what its unfinished jobs had held, its faded usage, its factor."""
+    """A team's balance at its page's last closing: machine time of its unfinished jobs, decayed usage and factor."""
 
     unfinished_time: ResourceTime = ResourceTime()
     decayed_usage: int = 0
@@ -110,7 +118,7 @@
 class BalancePage:
     """The balances of some teams as of one closing.
 
-    `revision` is the state service's up to which ended jobs are charged.
+    Jobs that ended up to `revision` of the state service are charged.
     """
 
     closed_at_ms: int  # ms since the epoch
@@ -127,12 +135,12 @@
         return cls(record["t"], record["r"], rows)
 
     def has_room_for(self, name: str, value_bytes: int) -> bool:
-        """Whether another team's row fits the page, and the entries that close it."""
-        return sum(len(n.encode()) + ROW_BYTES for n in (*self.balances, name)) <= value_bytes * PAGE_SHARE
+        """Whether another team's row fits into the page and into the entries that close it."""
+        return sum(len(n.encode()) + MAX_ROW_BYTES for n in (*self.balances, name)) <= value_bytes * MAX_ROWS_FRACTION
 
 
 class TeamRow(NamedTuple):
-    """What an entry says of a team: machine time since the one before, its share, faded usage and factor after it."""
+    """A team's row in an entry: machine time since the last closing, its share, and decayed usage and factor now."""
 
     resource_time: ResourceTime
     share: int
@@ -143,70 +151,71 @@
 def close(page: BalancePage, at: int, revision: int,
           now: Mapping[str, tuple[ResourceTime, ResourceTime]], policy: Policy,
           teams: Mapping[str, Team]) -> tuple[BalancePage, dict[str, TeamRow]]:  # fmt: skip
-    """Close a page's stretch: the new page, and a row for each team that held something or has usage left.
+    """Close a page at `at` (ms since the epoch) and return the new page and its rows.
 
-    `now` has, for each team, what its jobs that ended since the last closing
-    held in all, and what its unfinished ones have held until `at`.
+    There is a row for each team that used machine time or had usage.  `now`
+    has two totals for each team: the whole machine time of its jobs that ended
+    since the last closing, and that of its unfinished jobs until `at`.
     """
     balances: dict[str, Balance] = {}
     rows: dict[str, TeamRow] = {}
     for name in dict.fromkeys((*page.balances, *now)):
         before = page.balances.get(name, Balance())
-        ended, open_ = now.get(name, (ResourceTime(), ResourceTime()))
-        amounts = ended + open_ - before.unfinished_time
+        ended, unfinished = now.get(name, (ResourceTime(), ResourceTime()))
+        amounts = ended + unfinished - before.unfinished_time
         share = policy.share(teams.get(name))
         row = apply_charge(before.decayed_usage, at - page.closed_at_ms, amounts, share, policy)
-        balances[name] = Balance(open_, row.decayed_usage, row.factor)
+        balances[name] = Balance(unfinished, row.decayed_usage, row.factor)
         if any(amounts) or row.decayed_usage or before.decayed_usage:
             rows[name] = row
     return BalancePage(at, revision, balances), rows
 
 
-def apply_charge(faded: int, passed: int, amounts: ResourceTime, share: int, policy: Policy) -> TeamRow:
-    """A team's row after a stretch: its usage faded over `passed` ms, and the stretch's charge on top of it.
+def apply_charge(usage: int, elapsed_ms: int, amounts: ResourceTime, share: int, policy: Policy) -> TeamRow:
+    """A team's row after a period: its usage decayed over `elapsed_ms`, plus the charge of the period.
 
-    A correction may be negative; usage never is.
+    A correction can make the charge negative.  Usage is never negative.
     """
-    faded = max(0, decay(faded, passed, policy.half_life) + policy.charge(amounts))
-    return TeamRow(amounts, share, faded, factor(policy.form, faded, share, policy.half_life, policy.floor))
+    usage = max(0, decay(usage, elapsed_ms, policy.half_life) + policy.charge(amounts))
+    return TeamRow(amounts, share, usage, factor(policy.form, usage, share, policy.half_life, policy.floor))
 
 
 # -- entries and their chain --------------------------------------------------------
 
 
 def digest(entry: Mapping) -> str:
-    """The hash of an entry, over all of it but the hash: BLAKE2b of its canonical JSON."""
-    plain = {name: value for name, value in entry.items() if name != "hash"}
-    return hashlib.blake2b(orjson.dumps(plain, option=orjson.OPT_SORT_KEYS), digest_size=20).hexdigest()
+    """The hash of an entry: BLAKE2b of the canonical JSON of all its fields except `hash`."""
+    unhashed = {name: value for name, value in entry.items() if name != "hash"}
+    return hashlib.blake2b(orjson.dumps(unhashed, option=orjson.OPT_SORT_KEYS), digest_size=20).hexdigest()
 
 
-def _sealed(entry: dict) -> dict:
+def _with_hash(entry: dict) -> dict:
     return entry | {"hash": digest(entry)}
 
 
 def settings_entry(number: int, previous: str, at: int, policy: Policy, by: str) -> dict:
-    """From here on another policy is in force."""
-    return _sealed({"n": number, "prev": previous, "kind": "settings", "t": at, "by": by, "policy": policy.record()})
+    """An entry that puts another policy into force."""
+    return _with_hash({"n": number, "prev": previous, "kind": "settings", "t": at, "by": by, "policy": policy.record()})
 
 
 def closing_entry(number: int, previous: str, page_number: int, since: int,
                   page: BalancePage, rows: Mapping[str, TeamRow],
                   by: str) -> dict:  # fmt: skip
-    """A page was closed: its stretch of time, and its teams' rows."""
+    """An entry for a closed page: its period of time and its teams' rows."""
     teams = {name: [*r.resource_time, r.share, r.decayed_usage, r.factor] for name, r in rows.items()}
-    return _sealed({
+    return _with_hash({
         "n": number, "prev": previous, "kind": "closing", "t": page.closed_at_ms, "by": by, "page": page_number,
         "since": since, "r": page.revision, "teams": teams,
     })  # fmt: skip
 
 
 def rows_of(entry: Mapping) -> dict[str, TeamRow]:
-    """The teams' rows of a closing."""
+    """The teams' rows of a closing entry, by team."""
     return {name: TeamRow(ResourceTime(*row[:3]), *row[3:]) for name, row in entry["teams"].items()}
 
 
 def total(entries: Iterable[Mapping]) -> dict[str, ResourceTime]:
-    """All machine time that these entries charge, by team."""
+    """The machine time that these entries charge, by team."""
     sums: dict[str, ResourceTime] = {}
     for entry in entries:
         for name, row in rows_of(entry).items() if entry["kind"] == "closing" else ():
--- a/kelpjunction/ledger/archive.py
+++ b/kelpjunction/ledger/archive.py
@@ -1,4 +1,4 @@
-"""The ledger as a Parquet file: one row for each team of each entry, and all that an audit needs."""
+"""The ledger as a Parquet file: one row for each team of each entry, with everything that an audit needs."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
 
 FORMAT = "kelpjunction ledger 1"
-_ENTRY = [
+_ENTRY_COLUMNS = [
     ("n", pa.int64()),
     ("prev", pa.string()),
     ("hash", pa.string()),
@@ -24,7 +24,7 @@
     ("r", pa.int64()),
     ("policy", pa.string()),
 ]
-_ROW = [
+_ROW_COLUMNS = [
     ("cpus", pa.int64()),
     ("gpus", pa.int64()),
     ("memory", pa.int64()),
@@ -32,32 +32,32 @@
     ("faded", pa.uint64()),
     ("factor", pa.int64()),
 ]
-SCHEMA = pa.schema([*_ENTRY, ("team", pa.string()), *_ROW])
+SCHEMA = pa.schema([*_ENTRY_COLUMNS, ("team", pa.string()), *_ROW_COLUMNS])
 
 
 def write(path: Path, base: LedgerSnapshot, entries: Iterable[Mapping]) -> None:
-    """Write a file that is whole or not there: beside its place first, then moved."""
+    """Write the file atomically: to a temporary file in the same directory first, which is then renamed."""
     columns: dict[str, list] = {name: [] for name in SCHEMA.names}
     for entry in entries:
-        plain = {name: entry.get(name) for name, _ in _ENTRY}
-        plain["policy"] = orjson.dumps(entry["policy"]).decode() if "policy" in entry else None
-        # An entry without teams, such as one of settings, still has its row.
-        for team, row in entry.get("teams", {}).items() or [(None, [None] * len(_ROW))]:
-            values = plain | {"team": team} | dict(zip((name for name, _ in _ROW), row, strict=True))
+        common = {name: entry.get(name) for name, _ in _ENTRY_COLUMNS}
+        common["policy"] = orjson.dumps(entry["policy"]).decode() if "policy" in entry else None
+        # An entry without teams, such as a settings entry, still gets one row.
+        for team, row in entry.get("teams", {}).items() or [(None, [None] * len(_ROW_COLUMNS))]:
+            values = common | {"team": team} | dict(zip((name for name, _ in _ROW_COLUMNS), row, strict=True))
             for name, column in columns.items():
                 column.append(values[name])
     metadata = {"format": FORMAT, "base": orjson.dumps(base.record()).decode()}
     table = pa.table(columns, schema=SCHEMA.with_metadata(metadata))
-    beside = path.with_name(f"{path.name}.part")
-    with beside.open("wb") as file:
+    temporary = path.with_name(f"{path.name}.part")
+    with temporary.open("wb") as file:
         pq.write_table(table, file, compression="zstd")
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(path)
+    temporary.replace(path)
 
 
 def read(path: Path) -> LedgerContents:
-    """Read such a file; raises `LedgerError` naming what is wrong with it."""
+    """Read a file that `write` wrote; raises `LedgerError` that says what is wrong with the file."""
     try:
         table = pq.read_table(path)
     except (OSError, pa.ArrowException) as error:
@@ -79,7 +79,7 @@
                 entry |= {name: row[name] for name in ("page", "since", "r")} | {"teams": {}}
             entries.append(entry)
         if row["team"] is not None:
-            entries[-1]["teams"][row["team"]] = [row[name] for name, _ in _ROW]
+            entries[-1]["teams"][row["team"]] = [row[name] for name, _ in _ROW_COLUMNS]
     try:
         base = LedgerSnapshot.parse(orjson.loads(metadata["base"]))
     except (KeyError, TypeError, ValueError) as error:
--- a/kelpjunction/ledger/reader.py
+++ b/kelpjunction/ledger/reader.py
@@ -1,4 +1,4 @@
-"""Reading the ledger from the state service, and replacing old entries by the balances they led to."""
+"""Reads the ledger from the state service, and replaces old entries with the balances that result from them."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class LedgerSnapshot(NamedTuple):
-    """Where a run of entries begins: the entry before it, the policy in force, and the pages as that left them."""
+    """The state that a range of entries starts from: the entry before it, and the policy and pages after that entry."""
 
     number: int = 0
     hash: str = GENESIS
@@ -23,7 +23,7 @@
         return self.pointer() | {"pages": {str(number): page.record() for number, page in self.pages.items()}}
 
     def pointer(self) -> dict:
-        """All of it but the pages, which are stored apart since a value has limits."""
+        """The record without the pages; those have their own keys, because the size of a value is limited."""
         return {"n": self.number, "hash": self.hash, "policy": self.policy.record() if self.policy else None}
 
     @classmethod
@@ -34,7 +34,10 @@
 
 
 class LedgerContents(NamedTuple):
-    """A ledger as it was read: entries that follow `base`, and, from the state service, the end of the chain."""
+    """A ledger as read: the entries after `base`.
+
+    `head` and `pages` are set only if it was read from the state service.
+    """
 
     base: LedgerSnapshot
     entries: list[dict]
@@ -43,21 +46,22 @@
 
 
 def read(store: StoreClient) -> LedgerContents:
-    """The whole ledger; raises `StoreUnavailable`, and `LedgerError` where there is none.
+    """Read the whole ledger; raises `StoreUnavailable`, and `LedgerError` if there is no ledger.
 
-    The leader goes on closing meanwhile, so the head is read first and later
-    entries are left out; pages are told only if no closing came between.
+    The leader may write entries meanwhile.  The head is therefore read first,
+    and later entries are left out.  The pages are returned only if the head
+    has not changed during the read.
     """
     head = store.get(HEAD_KEY)
     if head is None:
-        raise LedgerError("there is no ledger: no node keeps one (operators' setting ledger.enabled)")
+        raise LedgerError("there is no ledger: it is not enabled on any node (operators' setting ledger.enabled)")
     pages = {int(e.key.removeprefix(PAGE_PREFIX)): BalancePage.parse(e.value) for e in store.scan(PAGE_PREFIX)[0]}
     base = _read_base(store)
     scanned, _ = store.scan(ENTRY_PREFIX)
     entries = [e.value for e in scanned if base.number < e.value["n"] <= head.value["n"]]
     now = store.get(HEAD_KEY)
-    unmoved = now is not None and now.version == head.version
-    return LedgerContents(base, entries, head.value, pages if unmoved else None)
+    unchanged = now is not None and now.version == head.version
+    return LedgerContents(base, entries, head.value, pages if unchanged else None)
 
 
 def _read_base(store: StoreClient) -> LedgerSnapshot:
@@ -74,11 +78,12 @@
 
 
 def compact(store: StoreClient, base: LedgerSnapshot) -> int:
-    """Replace the entries up to `base` by it; returns how many were deleted.
+    """Replace the entries up to `base` with `base`; returns how many entries were deleted.
 
-    The pointer is what counts: before it is moved nothing was deleted, after
-    it the entries up to it are not read any more, so that a crash leaves at
-    most records that the next roll-up deletes.
+    The write of the pointer (`BASE_KEY`) takes effect for readers.  Nothing is
+    deleted before it, and entries up to it are not read after it.  A crash
+    therefore leaves at most unused records, which the next call deletes.
+    Raises `LedgerError` and `StoreUnavailable`.
     """
     pointer = store.get(BASE_KEY)
     if pointer is not None and pointer.value["n"] >= base.number:
@@ -88,14 +93,14 @@
         _put(store, {}, {f"{prefix}{number:04d}": page.record()})
     _put(store, {BASE_KEY: pointer.version if pointer else 0}, {BASE_KEY: base.pointer()})
     stale = [e.key for e in store.scan(ENTRY_PREFIX)[0] if e.key <= entry_key(base.number)]
-    left = [e.key for e in store.scan(BASE_PAGE_PREFIX)[0] if not e.key.startswith(prefix)]
-    keys, most = stale + left, store.limits.txn_ops
-    for first in range(0, len(keys), most):
-        _put(store, {}, {}, keys[first : first + most])
+    unused = [e.key for e in store.scan(BASE_PAGE_PREFIX)[0] if not e.key.startswith(prefix)]
+    keys, max_keys = stale + unused, store.limits.txn_ops
+    for first in range(0, len(keys), max_keys):
+        _put(store, {}, {}, keys[first : first + max_keys])
     return len(stale)
 
 
 def _put(store: StoreClient, guards: dict, puts: dict, deletes: list[str] = ()) -> None:
     outcome = store.commit(guards, puts, deletes, purpose=Purpose.BEST_EFFORT)
     if outcome.status is not CommitStatus.APPLIED:
-        raise LedgerError(f"the state service did not take it ({outcome.status.value}); run the command again")
+        raise LedgerError(f"the state service did not apply the write ({outcome.status.value}); run the command again")
--- a/kelpjunction/ledger/writer.py
+++ b/kelpjunction/ledger/writer.py
@@ -1,14 +1,17 @@
-"""The leader's part of the ledger: it closes stretches of time, each exactly once.
-
-A closing is one transaction: the entry, the pages it closes and the head of
-the chain, guarded by `l/lead` and by the head's version.  Charges are
-differences against what the page says, so a stretch that was not closed is
-charged with the next, and one whose closing is of unknown outcome is either in
-the head that is read again or can no longer be applied once the next is.
-
-Jobs that ended are charged from their final records, by the revision that
-wrote them: a closing asks for those written since the last, one request, and
-needs nothing that a node could have missed.
+"""The leader's part of the ledger: it writes an entry for each period of time, exactly once.
+
+A closing is one transaction.  It writes the entries, the pages that they close
+and the head of the chain.  It is guarded by the version of `l/lead` and by the
+version of the head.  A charge is the difference to the totals stored in the
+page, so a period that was not closed is charged with the next one.  If the
+outcome of a closing is unknown, the head is read again.  Either the head
+contains the closing, or the closing can no longer be applied once the next
+one has been.
+
+Finished jobs are charged from their final records.  The revision that wrote a
+record decides which closing charges it.  Each closing requests, in one
+request, the final records written since the last one.  It does not depend on
+changes that a node could have missed.
 """
 
 import logging
@@ -44,11 +47,10 @@
 ENTRY_PREFIX = "u/entry/"
 PAGE_PREFIX = "u/page/"
 BASE_KEY = "u/base"
-CHANGES_A_SECOND = 1.0  # of the state service, at most, on average
-MAX_UNCLOSED_REVISIONS = (
-    4000  # revisions: it keeps 10,000 changes, and what ended since must not be among the older ones
-)
-LOOK_EVERY = timedelta(seconds=5)  # at most, while nothing is due
+MAX_CHANGES_PER_S = 1.0  # average rate at which the ledger changes keys of the state service
+# In revisions.  The state service keeps 10,000 changes, and jobs that ended since the last closing must be among them.
+MAX_UNCLOSED_REVISIONS = 4000
+MAX_CHECK_INTERVAL = timedelta(seconds=5)  # while no page is due
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
@@ -61,19 +63,20 @@
 
 
 class WriterState(Enum):
-    """What this node does for the ledger; `_stand` makes every change.
+    """What this node does for the ledger; `_set_state` makes every change.
 
-    AWAY -> READING -> KEEPING, from KEEPING back to READING when the head is
-    not as this node left it, and from any of them to AWAY.
+    INACTIVE -> READING -> ACTIVE.  ACTIVE goes back to READING when the head
+    may differ from what this node last read or wrote.  Every state can go to
+    INACTIVE.
     """
 
-    INACTIVE = "away"  # this node does not lead
-    READING = "reading"  # the balances must be read (again)
+    INACTIVE = "away"  # this node is not the leader
+    READING = "reading"  # the balances must be read before the next closing
     ACTIVE = "keeping"
 
 
-class Ended(NamedTuple):
-    """What an ended job held in all, and the revision that wrote its final record."""
+class EndedJob(NamedTuple):
+    """The total machine time of a finished job, and the revision that wrote its final record."""
 
     revision: int
     team: str
@@ -81,7 +84,7 @@
 
 
 class Head(NamedTuple):
-    """The end of the chain: the last entry, the policy in force, and the revision up to which all pages are closed."""
+    """The end of the chain: the last entry, the current policy, and the revision up to which ended jobs are charged."""
 
     number: int
     hash: str
@@ -97,7 +100,7 @@
 
 
 class LedgerWriter:
-    """Keeps the ledger while this node leads; which factors hold is known to whoever leads."""
+    """Writes the ledger while this node is the leader.  Only the leader knows the current factors."""
 
     def __init__(
         self,
@@ -121,244 +124,253 @@
         self._leader_term: LeaderTerm | None = None
         self.state = WriterState.INACTIVE
         self._head = Head(0, GENESIS, 0, None)
-        self._version = 0  # of the head, as this node last read or wrote it
+        self._version = 0  # version of the head when this node last read or wrote it
         self._pages: dict[int, BalancePage] = {}
-        self._page_of: dict[str, int] = {}
+        self._page_by_team: dict[str, int] = {}
         self._factors: dict[str, float] = {}
-        self._looked = 0  # the mirror's revision at the last look
-        self._next_at = ZERO
-        self._told_behind = False
+        self._checked_revision = 0  # the mirror's revision at the last check; 0 if another check is needed
+        self._next_run_at = ZERO
+        self._clock_behind_logged = False
         mirror.listen(HEAD_KEY, self._head_changed)
 
     def factor(self, team: str) -> float:
-        """By what the shared weight of a team's work beyond its guarantee is multiplied, as the last entry says."""
+        """The multiplier for the shared weight of a team's work beyond its guarantee, as of the last entry."""
         return self._factors.get(team, 1.0)
 
     @property
     def entry(self) -> int:
-        """The number of the last entry that this node's factors follow."""
+        """The number of the last entry that this node's factors include."""
         return self._head.number
 
     def _head_changed(self, key: str, value: dict | None, version: int) -> None:
         if self.state is WriterState.ACTIVE and version > self._version:
-            self._stand(WriterState.READING, "an earlier closing was applied late")
+            self._set_state(WriterState.READING, "an earlier closing was applied late")
 
-    # -- a reign ------------------------------------------------------------------
+    # -- a leader term ------------------------------------------------------------
 
     def begin(self, leader_term: LeaderTerm) -> None:
-        """Start a reign with the balances as the last closing left them; raises `StoreUnavailable`."""
+        """Start a leader term with the balances of the last closing; raises `StoreUnavailable`."""
         self._leader_term = leader_term
-        self._stand(WriterState.READING, f"term {leader_term.term}")
+        self._set_state(WriterState.READING, f"term {leader_term.term}")
         self._read()
 
     def end(self) -> None:
-        """This node leads no longer."""
+        """Stop writing: this node is no longer the leader."""
         self._leader_term = None
-        self._stand(WriterState.INACTIVE, "")
+        self._set_state(WriterState.INACTIVE, "")
 
-    def _stand(self, state: WriterState, why: str) -> None:
-        """The one place where the state changes."""
+    def _set_state(self, state: WriterState, why: str) -> None:
+        """Change the state and log the change; nothing else assigns `state` after construction."""
         if state is not self.state:
             log.debug("ledger: %s -> %s %s", self.state.value, state.value, why)
         self.state = state
 
     def _read(self) -> None:
-        """Read head and pages.
+        """Read the head and the pages.
 
-        The head first: if a closing is applied meanwhile, the pages are newer
-        than it, and the next closing fails by the head's version.
+        The head is read first.  If a closing is applied between the two reads,
+        the pages are newer than the head, and the guard on the head's version
+        makes this node's next closing fail.
         """
         head = self._store.get(HEAD_KEY)
         entries, _ = self._store.scan(PAGE_PREFIX)
         self._head = Head.parse(head.value) if head else Head(0, GENESIS, self._mirror.revision, None)
         self._version = head.version if head else 0
-        self._adopt({int(e.key.removeprefix(PAGE_PREFIX)): BalancePage.parse(e.value) for e in entries})
-        self._looked = 0
-        self._stand(WriterState.ACTIVE, f"at entry {self._head.number}")
+        self._use_pages({int(e.key.removeprefix(PAGE_PREFIX)): BalancePage.parse(e.value) for e in entries})
+        self._checked_revision = 0
+        self._set_state(WriterState.ACTIVE, f"at entry {self._head.number}")
 
-    def _read_ended(self) -> dict[str, Ended]:
-        """All jobs that ended since the revision up to which every page is closed."""
+    def _read_ended(self) -> dict[str, EndedJob]:
+        """All jobs that ended after the head's revision; ended jobs are charged on every page up to it."""
         found = self._store.watch(END_PREFIX, self._head.revision, ZERO, self._transport)
         if found is None:
-            # The service forgot the changes: nobody closed for very long.
+            # The state service no longer has these changes, because the last closing is too long ago.
             changes = [e for e in self._store.scan(END_PREFIX)[0] if e.version > self._head.revision]
-            log.info("the last closing is long ago: all ended jobs were read again")
+            log.info("changes since the last closing are gone from the state service; read all ended jobs again")
         else:
             changes, _ = found
-        ended: dict[str, Ended] = {}
+        ended: dict[str, EndedJob] = {}
         for key, value, version in changes:
-            if value is not None and (was := value.get("held")):
-                amounts = resource_time(was["cpus"], was["gpus"], was["memory"], was["ms"])
-                ended[key.removeprefix(END_PREFIX)] = Ended(version, was["team"], amounts)
+            if value is not None and (held := value.get("held")):
+                amounts = resource_time(held["cpus"], held["gpus"], held["memory"], held["ms"])
+                ended[key.removeprefix(END_PREFIX)] = EndedJob(version, held["team"], amounts)
         return ended
 
-    def _adopt(self, pages: Mapping[int, BalancePage]) -> None:
-        """These pages hold from now on."""
+    def _use_pages(self, pages: Mapping[int, BalancePage]) -> None:
+        """Use these pages and their factors from now on."""
         self._pages |= pages
         for number, page in pages.items():
             for name, balance in page.balances.items():
-                self._page_of[name] = number
+                self._page_by_team[name] = number
                 self._factors[name] = balance.factor / FIXED_POINT_ONE
 
     # -- closing --------------------------------------------------------------------
 
     def run_once(self) -> None:
-        """Close what is due; raises `StoreUnavailable`.
+        """Close the pages that are due; raises `StoreUnavailable`.
 
-        The reign may end while this waits for an answer: what it then still
-        writes fails by the guards.
+        The leader term may end while this waits for the state service.  The
+        guards then make any later write fail.
         """
-        reign = self._leader_term
-        if reign is None or self._mirror.revision is None or self._clock.steady() < self._next_at:
+        leader_term = self._leader_term
+        if leader_term is None or self._mirror.revision is None or self._clock.steady() < self._next_run_at:
             return
         if self.state is WriterState.READING:
             self._read()
         at = (self._clock.utc() - EPOCH) // MILLISECOND
         if self._head.policy != self._policy:
             number = self._head.number + 1
-            entry = settings_entry(number, self._head.hash, at, self._policy, self._by(reign))
-            self._write(reign, [entry], {}, self._head.revision)
-        elif self._job_index.metered or self._mirror.revision != self._looked:
-            self._next_at = self._clock.steady() + min(self._period, LOOK_EVERY)
-            self._close(reign, at)
+            entry = settings_entry(number, self._head.hash, at, self._policy, self._author(leader_term))
+            self._write(leader_term, [entry], {}, self._head.revision)
+        elif self._job_index.metered or self._mirror.revision != self._checked_revision:
+            self._next_run_at = self._clock.steady() + min(self._period, MAX_CHECK_INTERVAL)
+            self._close(leader_term, at)
 
-    def _by(self, leader_term: LeaderTerm) -> str:
+    def _author(self, leader_term: LeaderTerm) -> str:
         return f"{self._node} term {leader_term.term}"
 
     def _close(self, leader_term: LeaderTerm, at: int) -> None:
         revision = self._mirror.revision
-        open_ = self._open(at)
+        unfinished = self._unfinished_usage(at)
         ended = self._read_ended()
-        now = self._now(revision, open_, ended)
-        chosen, early = self._due(at, now)
-        # What moved and is not due yet must be looked at again, also if
-        # nothing else happens: the last jobs of a day were closed with the
-        # first of the next.
-        self._looked = 0 if early else revision
-        if not chosen:
+        usage = self._usage_by_team(revision, unfinished, ended)
+        to_close, changed_not_due = self._select_pages(at, usage)
+        # A page with changes that is not due yet must be checked again, even if the mirror does not change.
+        # Without this, the last jobs of a day were charged only with the first jobs of the next day.
+        self._checked_revision = 0 if changed_not_due else revision
+        if not to_close:
             return
         number, previous = self._head.number, self._head.hash
         entries: list[dict] = []
         pages: dict[int, BalancePage] = {}
-        for page_number, names in chosen.items():
-            old = self._pages.get(page_number) or BalancePage(0, self._head.revision, {})
-            page, rows = close(old, at, revision, {n: now[n] for n in names if n in now}, self._policy, self._teams)
+        for page_number, due_teams in to_close.items():
+            before = self._pages.get(page_number) or BalancePage(0, self._head.revision, {})
+            page, rows = close(
+                before, at, revision, {n: usage[n] for n in due_teams if n in usage}, self._policy, self._teams
+            )
             number += 1
             entries.append(
-                closing_entry(number, previous, page_number, old.closed_at_ms, page, rows, self._by(leader_term))
+                closing_entry(number, previous, page_number, before.closed_at_ms, page, rows, self._author(leader_term))
             )
             previous = entries[-1]["hash"]
             pages[page_number] = page
         closed = {name for page in pages.values() for name in page.balances}
-        left = [e.revision - 1 for e in ended.values() if e.team not in closed and not self._charged(e)]
-        # Up to here every ended job is charged once these pages are closed.
-        self._write(leader_term, entries, pages, min([revision, *left]))
+        uncharged = [e.revision - 1 for e in ended.values() if e.team not in closed and not self._is_charged(e)]
+        # Once these pages are closed, every job that ended up to this revision has been charged.
+        self._write(leader_term, entries, pages, min([revision, *uncharged]))
 
-    def _charged(self, ended: Ended) -> bool:
-        page = self._pages.get(self._page_of.get(ended.team, -1))
+    def _is_charged(self, ended: EndedJob) -> bool:
+        page = self._pages.get(self._page_by_team.get(ended.team, -1))
         return page is not None and ended.revision <= page.revision
 
-    def _open(self, at: int) -> dict[str, tuple[str, ResourceTime]]:
-        """What each unfinished job has held until `at`, with its team."""
-        moment = EPOCH + at * MILLISECOND
+    def _unfinished_usage(self, at: int) -> dict[str, tuple[str, ResourceTime]]:
+        """The machine time of each unfinished job until `at` (ms since the epoch), with its team, by job id."""
+        until = EPOCH + at * MILLISECOND
         found = {}
         for ref in self._job_index.metered:
             job = self._job_index.jobs[ref]
             spec = job.spec
-            found[ref] = spec.team, resource_time(spec.cpus, spec.gpus, spec.memory, job.machine_time_ms(moment))
+            found[ref] = spec.team, resource_time(spec.cpus, spec.gpus, spec.memory, job.machine_time_ms(until))
         return found
 
-    def _now(
-        self, revision: int, open_: Mapping[str, tuple[str, ResourceTime]], ended: Mapping[str, Ended]
+    def _usage_by_team(
+        self, revision: int, unfinished: Mapping[str, tuple[str, ResourceTime]], ended: Mapping[str, EndedJob]
     ) -> dict[str, tuple[ResourceTime, ResourceTime]]:
-        """What each team's jobs have held: those that ended since its page's closing, and the others.
+        """The machine time of each team's jobs: of those that ended since its page's closing, and of the others.
 
-        `open_` was read before `ended`.  A job that ended after `revision` is
-        among the unfinished for this time: as it was read, or by its final
-        record where this node knew of its end before it knew all up to there.
+        `unfinished` was read before `ended`.  A job that ended after `revision`
+        counts as unfinished in this closing, with its machine time from
+        `unfinished`.  If it is not in there, this node learned of the job's
+        end before its mirror had reached the final record's revision.  The
+        machine time is then taken from the final record.
         """
         found: dict[str, tuple[ResourceTime, ResourceTime]] = {}
-        for team, amounts in open_.values():
-            over, still = found.get(team, (ResourceTime(), ResourceTime()))
-            found[team] = over, still + amounts
+        for team, amounts in unfinished.values():
+            ended_usage, unfinished_usage = found.get(team, (ResourceTime(), ResourceTime()))
+            found[team] = ended_usage, unfinished_usage + amounts
         for ref, job in ended.items():
-            over, still = found.get(job.team, (ResourceTime(), ResourceTime()))
+            ended_usage, unfinished_usage = found.get(job.team, (ResourceTime(), ResourceTime()))
             if job.revision > revision:
-                still += job.amounts if ref not in open_ else ResourceTime()
-            elif not self._charged(job):
-                over += job.amounts
-            found[job.team] = over, still
+                unfinished_usage += job.amounts if ref not in unfinished else ResourceTime()
+            elif not self._is_charged(job):
+                ended_usage += job.amounts
+            found[job.team] = ended_usage, unfinished_usage
         return found
 
-    def _due(self, at: int, now: Mapping[str, tuple[ResourceTime, ResourceTime]]) -> tuple[dict[int, list[str]], bool]:
-        """The pages to close now, with their teams, and whether others moved that are not due yet.
+    def _select_pages(
+        self, at: int, usage: Mapping[str, tuple[ResourceTime, ResourceTime]]
+    ) -> tuple[dict[int, list[str]], bool]:
+        """The pages to close now, with their teams, and whether other pages have changes but are not due yet.
 
-        New teams get a place as far as a transaction goes.
+        New teams are added to pages as far as one transaction has room.
 
-        A page is due a period after its last closing if anything was held, or
-        if work waits whose factor has changed meanwhile: nothing is written
-        while nothing runs and nobody waits.
+        A page is due one period after its last closing if a team used machine
+        time, or if a team with usage has pending jobs, since its factor has
+        changed meanwhile.  Nothing is written while nothing runs and no job is
+        pending.
         """
-        waiting = {self._job_index.jobs[ref].spec.team for ref in self._job_index.pending_jobs}
-        names: dict[int, list[str]] = {}
-        early = False
-        late = self._mirror.revision - self._head.revision > MAX_UNCLOSED_REVISIONS
+        teams_with_pending_jobs = {self._job_index.jobs[ref].spec.team for ref in self._job_index.pending_jobs}
+        due_teams: dict[int, list[str]] = {}
+        changed_not_due = False
+        many_unclosed = self._mirror.revision - self._head.revision > MAX_UNCLOSED_REVISIONS
         for number, page in self._pages.items():
             if at <= page.closed_at_ms:
-                self._note_behind(page.closed_at_ms - at)
+                self._log_clock_behind(page.closed_at_ms - at)
                 continue
-            moved = late or any(
-                now.get(name, (ResourceTime(), ResourceTime())) != (ResourceTime(), b.unfinished_time)
-                or (b.decayed_usage and name in waiting)
+            changed = many_unclosed or any(
+                usage.get(name, (ResourceTime(), ResourceTime())) != (ResourceTime(), b.unfinished_time)
+                or (b.decayed_usage and name in teams_with_pending_jobs)
                 for name, b in page.balances.items()
             )
-            if moved and (late or at - page.closed_at_ms >= self._period // MILLISECOND):
-                names[number] = list(page.balances)
+            if changed and (many_unclosed or at - page.closed_at_ms >= self._period // MILLISECOND):
+                due_teams[number] = list(page.balances)
             else:
-                early = early or moved
-        new = sorted(name for name in now if name not in self._page_of and any(map(any, now[name])))
-        # A page and its entry are two changes, each at most a value's size.
+                changed_not_due = changed_not_due or changed
+        new_teams = sorted(name for name in usage if name not in self._page_by_team and any(map(any, usage[name])))
+        # A page and its entry are two changes.  Each is at most as large as a value may be.
         limits = self._store.limits
-        most = max(1, min((limits.txn_ops - 1) // 2, MAX_TXN_BYTES // (2 * limits.value_bytes)))
-        oldest = sorted(names, key=lambda n: self._pages[n].closed_at_ms)[:most]
-        chosen = {number: names[number] for number in oldest}
-        for name in new:
-            number = self._place_for(name, chosen)
-            ahead = number in self._pages and at <= self._pages[number].closed_at_ms
-            if not ahead and (number in chosen or len(chosen) < most):
-                chosen.setdefault(number, list(self._pages[number].balances) if number in self._pages else [])
-                chosen[number].append(name)
-        return chosen, early
-
-    def _place_for(self, name: str, chosen: Mapping[int, list[str]]) -> int:
-        """The page for a new team: the last one with room, else a new one."""
-        last = max([*self._pages, *chosen], default=0)
+        max_pages = max(1, min((limits.txn_ops - 1) // 2, MAX_TXN_BYTES // (2 * limits.value_bytes)))
+        oldest = sorted(due_teams, key=lambda n: self._pages[n].closed_at_ms)[:max_pages]
+        to_close = {number: due_teams[number] for number in oldest}
+        for name in new_teams:
+            number = self._page_for_new_team(name, to_close)
+            closed_later = number in self._pages and at <= self._pages[number].closed_at_ms
+            if not closed_later and (number in to_close or len(to_close) < max_pages):
+                to_close.setdefault(number, list(self._pages[number].balances) if number in self._pages else [])
+                to_close[number].append(name)
+        return to_close, changed_not_due
+
+    def _page_for_new_team(self, name: str, to_close: Mapping[int, list[str]]) -> int:
+        """The page for a new team: the last page if it has room, otherwise a new one."""
+        last = max([*self._pages, *to_close], default=0)
         known = list(self._pages[last].balances) if last in self._pages else []
-        page = BalancePage(0, 0, dict.fromkeys([*known, *chosen.get(last, ())]))
+        page = BalancePage(0, 0, dict.fromkeys([*known, *to_close.get(last, ())]))
         return last if page.has_room_for(name, self._store.limits.value_bytes) else last + 1
 
-    def _note_behind(self, by: int) -> None:
-        if not self._told_behind:
-            self._told_behind = True
-            log.info("this node's time of day is %d ms behind the ledger's last entry: it is closed later", by)
+    def _log_clock_behind(self, behind_ms: int) -> None:
+        if not self._clock_behind_logged:
+            self._clock_behind_logged = True
+            log.info(
+                "this node's wall clock is %d ms behind the ledger's last closing; its page is closed later", behind_ms
+            )
 
     def _write(
         self, leader_term: LeaderTerm, entries: list[dict], pages: Mapping[int, BalancePage], revision: int
     ) -> None:
-        """Add entries to the chain and put their pages in force, in one transaction."""
+        """Append entries to the chain and store their pages, in one transaction."""
         head = Head(entries[-1]["n"], entries[-1]["hash"], revision, self._policy)
         puts: dict[str, Any] = {entry_key(e["n"]): e for e in entries}
         puts |= {page_key(number): page.record() for number, page in pages.items()}
         puts[HEAD_KEY] = head.record()
         guards = {LEADER_KEY: leader_term.leader_key_version, HEAD_KEY: self._version}
         outcome = self._store.commit(guards, puts, purpose=Purpose.RESULT)
-        self._next_at = self._clock.steady() + seconds(len(puts) / CHANGES_A_SECOND)
-        self._looked = 0  # pages may be left that are due
+        self._next_run_at = self._clock.steady() + seconds(len(puts) / MAX_CHANGES_PER_S)
+        self._checked_revision = 0  # more pages may be due
         if outcome.status is CommitStatus.APPLIED:
             self._head, self._version = head, outcome.revision
-            self._adopt(pages)
-            self._told_behind = False
+            self._use_pages(pages)
+            self._clock_behind_logged = False
             self._mirror.put(HEAD_KEY, head.record(), outcome.revision)
         elif outcome.status is not CommitStatus.REFUSED:
-            # It may have been applied, or another closing was before it.
-            self._stand(WriterState.READING, f"a closing ended in {outcome.status.value}")
+            # The closing may have been applied, or another closing was applied before it.
+            self._set_state(WriterState.READING, f"a closing ended in {outcome.status.value}")
