--- a/kelpjunction/cli/__init__.py
+++ b/kelpjunction/cli/__init__.py
@@ -1,7 +1,8 @@
 """The command line: `kelpjunction COMMAND`.
 
-Exit codes: 0 done; 1 the service said no, or a rule was broken; 2 the command
-or a settings file is wrong; 3 nothing answered.
+Exit codes: 0 success; 1 the service refused the request, or a check of the
+lab's rules or of the ledger failed; 2 the command or a file is wrong; 3 no
+service answered.
 """
 
 import click
@@ -17,7 +18,7 @@
 @click.group()
 @click.version_option(__version__)
 def main() -> None:
-    """A cluster scheduler: controllers, jobs, and a lab to see it all work.
+    """A cluster scheduler: controllers, jobs, and a lab that runs all of it on one machine.
 
     \b
     Start here:
--- a/kelpjunction/cli/lab.py
+++ b/kelpjunction/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lab …`: the whole service on this machine, to see it work and to break it."""
+"""`lab …`: runs the whole service on this machine and injects faults into it."""
 
 import sys
 from datetime import timedelta
@@ -11,17 +11,19 @@
 from kelpjunction.transport import HttpTransport, NoResponse
 
 DEFAULT_PORT = 18000
-_port = click.option(
+_port_option = click.option(
     "--port", default=DEFAULT_PORT, show_default=True, type=click.IntRange(1024, 60000), help="The lab's first port."
 )
 
-_operators = click.option(
-    "--operators", type=click.Path(), help="The operators' settings (JSON) of all nodes; for instance a ledger."
+_operators_option = click.option(
+    "--operators",
+    type=click.Path(),
+    help="The operators' settings (JSON) of all nodes; for example to enable the ledger.",
 )
 
 
-def _settings(operators: str | None):
-    """The operators' settings, checked before anything starts."""
+def _load_settings(operators: str | None):
+    """Load the operators' settings before anything starts; exit with 2 if they are wrong."""
     try:
         return load_operator_settings(operators)
     except SettingsError as error:
@@ -29,8 +31,8 @@
         sys.exit(2)
 
 
-def _live(*args):
-    """A live site, its servers and processes; imported late, since nodes never need it."""
+def _live_site(*args):
+    """A live lab with servers and processes; imported here because nodes never need it."""
     from kelpjunction.lab.live import LiveSite
     from kelpjunction.lab.site import Refused
 
@@ -41,8 +43,8 @@
         sys.exit(2)
 
 
-def _world(tickets: bool):
-    """The simulated world; with gateways where there are tickets, which takes more than a node has."""
+def _simulation_class(tickets: bool):
+    """The class of the simulation; the one with ticket gateways needs extra packages and is used only for tickets."""
     if not tickets:
         from kelpjunction.lab.world import World
 
@@ -54,22 +56,24 @@
 
 @click.group()
 def lab() -> None:
-    """The whole service on this machine: nodes, and stand-ins for all they need."""
+    """The whole service on this machine: nodes, and simulated versions of the services they depend on."""
 
 
 @lab.command()
 @click.option("--nodes", default=3, show_default=True, type=click.IntRange(1, 9))
 @click.option("--zones", default=3, show_default=True, type=click.IntRange(1, 9))
 @click.option("--machines", default=12, show_default=True, type=click.IntRange(1, 200))
-@click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 100), help="Of tasks and boots.")
-@click.option("--minutes", default=0.0, help="End by itself after this long; 0: only by Ctrl-C.")
-@click.option("--tickets", is_flag=True, help="Start a ticket gateway too, at the lab's first port and 90.")
-@_operators
-@_port
+@click.option(
+    "--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 100), help="Speed-up of tasks and boots."
+)
+@click.option("--minutes", default=0.0, help="Stop after this many minutes; 0: only on Ctrl-C.")
+@click.option("--tickets", is_flag=True, help="Start a ticket gateway too, at the lab's first port plus 90.")
+@_operators_option
+@_port_option
 def up(
     nodes: int, zones: int, machines: int, speed: float, minutes: float, tickets: bool, operators: str | None, port: int
 ) -> None:
-    """Bring the lab up and show it until Ctrl-C.
+    """Start the lab and show its status until Ctrl-C.
 
     \b
     Example:
@@ -81,8 +85,8 @@
 
     from kelpjunction.lab.table import render
 
-    _settings(operators)
-    site = _live(nodes, zones, machines, speed, port, 1, operators, False, tickets)
+    _load_settings(operators)
+    site = _live_site(nodes, zones, machines, speed, port, 1, operators, False, tickets)
     try:
         with Live(render(site.status()), refresh_per_second=2) as table:
             left = minutes * 60 or float("inf")
@@ -98,18 +102,22 @@
 
 @lab.command()
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--simulated", is_flag=True, help="On a simulated clock, without processes: the same on every run.")
-@click.option("--seed", default=1, show_default=True, help="Moves arrivals, run and boot times, and messages.")
+@click.option(
+    "--simulated", is_flag=True, help="Use a simulated clock and no processes: every run gives the same result."
+)
+@click.option(
+    "--seed", default=1, show_default=True, help="Random seed of arrivals, run times, boot times and messages."
+)
 @click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 100))
 @click.option("--json", "as_json", is_flag=True, help="Print the summary as JSON.")
-@_operators
-@_port
+@_operators_option
+@_port_option
 def run(
     scenario: Path, simulated: bool, seed: int, speed: float, as_json: bool, operators: str | None, port: int
 ) -> None:
-    """Play SCENARIO (TOML): load, faults, and a check of the rules.
+    """Run SCENARIO (TOML): load, faults, and a check of the rules.
 
-    Exit code 1 if a rule was broken or a job did not end as it should, 2 if
+    Exit code 1 if a rule was broken or a job did not end as expected, 2 if
     the file is wrong.
 
     \b
@@ -120,17 +128,19 @@
     from kelpjunction.lab.scenario import Player, ScenarioError, load
     from kelpjunction.lab.world import NetworkConditions
 
-    site, tuning = None, _settings(operators)
+    site, operator_settings = None, _load_settings(operators)
     try:
-        what = load(scenario)
-        machines = what["machines"]
+        content = load(scenario)
+        machines = content["machines"]
         if simulated:
-            how = {"seed": seed, "machines": machines, "capacity": 2 * machines}
-            site = _world(bool(what["ticket"]))(**how, network_conditions=NetworkConditions(), operators=tuning)
+            options = {"seed": seed, "machines": machines, "capacity": 2 * machines}
+            site = _simulation_class(bool(content["ticket"]))(
+                **options, network_conditions=NetworkConditions(), operators=operator_settings
+            )
         else:
-            site = _live(3, 3, machines, speed, port, seed, operators, False, bool(what["ticket"]))
-        player = Player(site, what, lambda line: click.echo(line, err=True))
-        well = player.play()
+            site = _live_site(3, 3, machines, speed, port, seed, operators, False, bool(content["ticket"]))
+        player = Player(site, content, lambda line: click.echo(line, err=True))
+        passed = player.play()
     except ScenarioError as error:
         click.echo(f"kelpjunction: {scenario}: {error}", err=True)
         sys.exit(2)
@@ -147,21 +157,21 @@
         click.echo(f"{summary['starts']} starts in {summary['lasted_s']} s")
         for problem in summary["problems"]:
             click.echo(f"PROBLEM: {problem}")
-        click.echo("all ended as it should, no rule was broken" if well else "not all went as it should")
-    sys.exit(0 if well else 1)
+        click.echo("all ended as it should, no rule was broken" if passed else "not all went as it should")
+    sys.exit(0 if passed else 1)
 
 
 @lab.command()
 @click.argument("plan", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON, without progress.")
-@click.option("--out", type=click.Path(path_type=Path), help="Write the figures as JSON into this file too.")
+@click.option("--out", type=click.Path(path_type=Path), help="Also write the figures as JSON into this file.")
 @click.option("--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep the controllers' logs here.")
-@_port
+@_port_option
 def scale(plan: Path, as_json: bool, out: Path | None, logs: Path | None, port: int) -> None:
-    """Play PLAN (TOML): real controllers beside hundreds or thousands of hollow workers, all on loopback.
+    """Run PLAN (TOML): real controllers with hundreds or thousands of simulated workers, all on loopback.
 
     Exit code 1 if a rule was broken, a job did not end, or the run stopped
-    itself at a bound; 2 if the file is wrong or asks for too much.
+    at one of its limits; 2 if the file is wrong or asks for too much.
 
     \b
     Example:
@@ -172,15 +182,15 @@
     sys.exit(play_plan(plan, port, as_json, out, logs))
 
 
-def _tell(port: int, fields: dict | None) -> dict:
-    """Ask the lab's control port; exit code 3 if no lab is up."""
+def _control_request(port: int, fields: dict | None) -> dict:
+    """Send a request to the lab's control port; exit with 3 if no lab is running, and with 1 if it refuses."""
     from kelpjunction.lab.live import CONTROL_PORT
 
     method, body = ("GET", None) if fields is None else ("POST", orjson.dumps(fields))
     try:
         reply = HttpTransport(1).request(f"127.0.0.1:{port + CONTROL_PORT}", method, "/", body, timedelta(seconds=5))
     except NoResponse:
-        click.echo(f"kelpjunction: no lab is up at port {port}; `kelpjunction lab up` starts one", err=True)
+        click.echo(f"kelpjunction: no lab is running at port {port}; `kelpjunction lab up` starts one", err=True)
         sys.exit(3)
     if reply.status != 200:
         click.echo(f"kelpjunction: {reply.fields.get('error', reply.status)}", err=True)
@@ -189,49 +199,51 @@
 
 
 @lab.command()
-@_port
+@_port_option
 def status(port: int) -> None:
-    """Print what the lab's table shows, as JSON."""
-    click.echo(orjson.dumps(_tell(port, None), option=orjson.OPT_INDENT_2))
+    """Print the content of the lab's table as JSON."""
+    click.echo(orjson.dumps(_control_request(port, None), option=orjson.OPT_INDENT_2))
 
 
 @lab.command()
 @click.argument("node")
-@click.option("--back-after", "duration", default=0.0, help="Seconds until it is started again; 0: it stays dead.")
-@_port
+@click.option(
+    "--back-after", "duration", default=0.0, help="Seconds until it is started again; 0: it is not restarted."
+)
+@_port_option
 def kill(node: str, duration: float, port: int) -> None:
-    """Kill NODE's process; `leader` names the one that leads, `all` every one."""
-    _tell(port, {"do": "kill", "target": node, "seconds": duration})
+    """Kill NODE's process; `leader` selects the current leader, `all` every node."""
+    _control_request(port, {"do": "kill", "target": node, "seconds": duration})
 
 
 @lab.command()
 @click.argument("node")
-@_port
+@_port_option
 def start(node: str, port: int) -> None:
-    """Start NODE again; `all` names every one that does not run."""
-    _tell(port, {"do": "start", "target": node})
+    """Start NODE again; `all` selects every node that is not running."""
+    _control_request(port, {"do": "start", "target": node})
 
 
 @lab.command()
 @click.argument("node")
 @click.argument("seconds", type=click.FloatRange(0), default=10.0)
-@_port
+@_port_option
 def freeze(node: str, seconds: float, port: int) -> None:
-    """Let NODE (or `leader`, or `all`) stand still for SECONDS, and then go on with what it believed."""
-    _tell(port, {"do": "freeze", "target": node, "seconds": seconds})
+    """Pause NODE (or `leader`, or `all`) for SECONDS; it then continues with its old state."""
+    _control_request(port, {"do": "freeze", "target": node, "seconds": seconds})
 
 
 @lab.command()
 @click.argument("seconds", type=click.FloatRange(0), default=20.0)
-@_port
+@_port_option
 def outage(seconds: float, port: int) -> None:
-    """Take the state service away for SECONDS."""
-    _tell(port, {"do": "outage", "seconds": seconds})
+    """Make the state service unreachable for SECONDS."""
+    _control_request(port, {"do": "outage", "seconds": seconds})
 
 
 @lab.command()
 @click.argument("zone")
-@_port
+@_port_option
 def lose(zone: str, port: int) -> None:
-    """Let all machines of ZONE die."""
-    _tell(port, {"do": "lose", "target": zone})
+    """Fail all machines of ZONE."""
+    _control_request(port, {"do": "lose", "target": zone})
--- a/kelpjunction/cli/ledger.py
+++ b/kelpjunction/cli/ledger.py
@@ -13,22 +13,24 @@
 from kelpjunction.store.client import StoreClient, StoreUnavailable
 from kelpjunction.transport import HttpTransport
 
-LAB_STATE = "127.0.0.1:18379"
-DEFAULT_STORE_LIMITS = StoreLimits(100.0, 20.0, 4096, 8)  # where no settings file tells the limits
-SHARE = 0.1  # of the state service's rate of changes that a command may take
+LAB_STORE_ADDRESS = "127.0.0.1:18379"
+DEFAULT_STORE_LIMITS = StoreLimits(100.0, 20.0, 4096, 8)  # used without --config
+RATE_FRACTION = 0.1  # of the state service's rate of changes that a command may use
 
 
-def _service(command: Callable) -> Callable:
-    """The options that say which state service is meant."""
-    state = click.option("--state", default=LAB_STATE, show_default=True, help="The state service's address.")
-    config = click.option("--config", type=click.Path(), help="The platform's settings: its state service, its limits.")
+def _store_options(command: Callable) -> Callable:
+    """Add the options that select the state service."""
+    state = click.option("--state", default=LAB_STORE_ADDRESS, show_default=True, help="The state service's address.")
+    config = click.option(
+        "--config", type=click.Path(), help="The platform's settings file: its state service and limits."
+    )
     return state(config(command))
 
 
-def _source(command: Callable) -> Callable:
-    """The options that say where the ledger is."""
+def _source_options(command: Callable) -> Callable:
+    """Add the options that select the ledger: a file or a state service."""
     return click.option("--file", type=click.Path(path_type=Path), help="An exported ledger (Parquet).")(
-        _service(command)
+        _store_options(command)
     )
 
 
@@ -37,8 +39,8 @@
     sys.exit(code)
 
 
-def _extra(module: str):
-    """A module that needs more than a node has; exit code 2 says what to install."""
+def _import_extra(module: str):
+    """Import a ledger module that needs extra packages; exit with 2 and say what to install if one is missing."""
     from importlib import import_module
 
     try:
@@ -55,37 +57,45 @@
         except SettingsError as error:
             _fail(2, error)
         address, limits = platform.store_address, platform.store
-    return StoreClient(HttpTransport(1), address, limits, SystemClock(), lambda d: time.sleep(d.total_seconds()), SHARE)
+    return StoreClient(
+        HttpTransport(1), address, limits, SystemClock(), lambda d: time.sleep(d.total_seconds()), RATE_FRACTION
+    )
 
 
-def _books(file: Path | None, state: str, config: str | None):
-    """The ledger from a file or from the service; exit codes 2 and 3 as everywhere."""
+def _read_ledger(file: Path | None, state: str, config: str | None):
+    """Read the ledger from a file or from the state service.
+
+    Exits with 2 if the file is not valid, with 1 if there is no ledger, and
+    with 3 if the state service does not answer.
+    """
     from kelpjunction.ledger.accounts import LedgerError
     from kelpjunction.ledger.reader import read
 
     try:
-        return read(_store(state, config)) if file is None else _extra("archive").read(file)
+        return read(_store(state, config)) if file is None else _import_extra("archive").read(file)
     except LedgerError as error:
         _fail(2 if file else 1, error)
     except StoreUnavailable as error:
         _fail(3, f"no state service answers at {state}: {error}")
 
 
-def _audited(books, tell: Callable[[str], None] = click.echo):
-    """Audit and say so; exit code 1 names the first entry that does not follow."""
+def _audit_or_exit(contents, report_line: Callable[[str], None] = click.echo):
+    """Audit a ledger and print the result; exit with 1 and name the first entry that fails."""
     from kelpjunction.ledger.audit import audit
 
-    done = audit(books)
-    if done.fault is not None:
-        _fail(1, done.fault)
-    first = books.base.number + 1
-    tell(f"entries {first} to {done.base.number} follow one another; {done.factors} factors are the same to the bit")
-    return done
+    result = audit(contents)
+    if result.fault is not None:
+        _fail(1, result.fault)
+    first = contents.base.number + 1
+    report_line(
+        f"entries {first} to {result.base.number} follow one another; {result.factors} factors are the same to the bit"
+    )
+    return result
 
 
 @click.group()
 def ledger() -> None:
-    """What each team used, how it fades, and what that does to its priority; anyone can audit it.
+    """Each team's usage, its decay over time and its effect on priority, as a ledger that anyone can audit.
 
     \b
     Examples:
@@ -97,7 +107,7 @@
 
 
 @ledger.command()
-@_source
+@_source_options
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def show(file: Path | None, state: str, config: str | None, as_json: bool) -> None:
     """Print each team's usage and factor as of the last entry."""
@@ -105,88 +115,92 @@
     from kelpjunction.ledger.audit import replay
     from kelpjunction.ledger.decay import FIXED_POINT_ONE
 
-    books = _books(file, state, config)
-    done, sums = replay(books.base, books.entries), total(books.entries)
+    contents = _read_ledger(file, state, config)
+    result, totals = replay(contents.base, contents.entries), total(contents.entries)
     teams = {
         name: {
-            "cpu_hours": sums[name].cpus / UNIT_HOUR if name in sums else 0.0,
-            "accelerator_hours": sums[name].gpus / UNIT_HOUR if name in sums else 0.0,
+            "cpu_hours": totals[name].cpus / UNIT_HOUR if name in totals else 0.0,
+            "accelerator_hours": totals[name].gpus / UNIT_HOUR if name in totals else 0.0,
             "faded": balance.decayed_usage,
             "factor": balance.factor / FIXED_POINT_ONE,
         }
-        for page in done.base.pages.values()
+        for page in result.base.pages.values()
         for name, balance in page.balances.items()
     }
     if as_json:
-        click.echo(orjson.dumps({"entry": done.base.number, "teams": teams}, option=orjson.OPT_INDENT_2))
+        click.echo(orjson.dumps({"entry": result.base.number, "teams": teams}, option=orjson.OPT_INDENT_2))
         return
-    click.echo(f"{'team':20} {'CPU hours':>12} {'accelerators':>12} {'factor':>8}   after entry {done.base.number}")
+    click.echo(f"{'team':20} {'CPU hours':>12} {'accelerators':>12} {'factor':>8}   after entry {result.base.number}")
     for name, team in sorted(teams.items()):
         click.echo(f"{name:20} {team['cpu_hours']:12.2f} {team['accelerator_hours']:12.2f} {team['factor']:8.3f}")
 
 
 @ledger.command()
 @click.argument("target", type=click.Path(path_type=Path, dir_okay=False))
-@_source
+@_source_options
 def export(target: Path, file: Path | None, state: str, config: str | None) -> None:
-    """Write the ledger to TARGET (Parquet), with all that an audit needs."""
-    books = _books(file, state, config)
-    _extra("archive").write(target, books.base, books.entries)
-    click.echo(f"{len(books.entries)} entries in {target}")
+    """Write the ledger to TARGET (Parquet), with everything that an audit needs."""
+    contents = _read_ledger(file, state, config)
+    _import_extra("archive").write(target, contents.base, contents.entries)
+    click.echo(f"{len(contents.entries)} entries in {target}")
 
 
 @ledger.command()
-@_source
+@_source_options
 def audit(file: Path | None, state: str, config: str | None) -> None:
-    """Check that no entry is missing, repeated or changed and all balances follow; exit code 1 names the first."""
-    _audited(_books(file, state, config))
+    """Check that no entry is missing, repeated or changed and that all balances are correct.
+
+    Exit code 1 names the first entry that fails.
+    """
+    _audit_or_exit(_read_ledger(file, state, config))
 
 
 @ledger.command()
-@_source
+@_source_options
 def replay(file: Path | None, state: str, config: str | None) -> None:
-    """Compute every factor that was ever used anew, and compare them bit for bit."""
-    _audited(_books(file, state, config))
+    """Recompute every factor in the entries and compare them bit for bit."""
+    _audit_or_exit(_read_ledger(file, state, config))
 
 
 @ledger.command()
 @click.argument("target", type=click.Path(path_type=Path, dir_okay=False))
-@_source
+@_source_options
 def report(target: Path, file: Path | None, state: str, config: str | None) -> None:
     """Write one HTML file with tables and plots that works offline."""
     from kelpjunction.ledger.audit import audit
 
-    books = _books(file, state, config)
-    target.write_text(_extra("report").html(books, audit(books)))
+    contents = _read_ledger(file, state, config)
+    target.write_text(_import_extra("report").html(contents, audit(contents)))
     click.echo(f"report in {target}")
 
 
 @ledger.command()
 @click.argument("target", type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--through", type=click.IntRange(1), help="The last entry to archive; all that there are if left out.")
-@_service
+@click.option("--through", type=click.IntRange(1), help="The last entry to archive; all entries if left out.")
+@_store_options
 def archive(target: Path, through: int | None, state: str, config: str | None) -> None:
-    """Move entries from the state service to TARGET (Parquet); the balances they led to stay.
+    """Move entries from the state service to TARGET (Parquet); the resulting balances stay.
 
-    The entries go only after the file was written, read back and audited.
+    The entries are deleted only after the file was written and read back.
+    The ledger is audited first.
     """
     from kelpjunction.ledger.accounts import LedgerError
     from kelpjunction.ledger.audit import replay
     from kelpjunction.ledger.reader import LedgerContents, compact
 
     if target.exists():
-        _fail(2, f"{target} exists: an archive is never written over")
-    books = _books(None, state, config)
-    _audited(books, lambda line: None)
-    old = [e for e in books.entries if through is None or e["n"] <= through]
+        _fail(2, f"{target} exists: an archive is never overwritten")
+    contents = _read_ledger(None, state, config)
+    _audit_or_exit(contents, lambda line: None)
+    old = [e for e in contents.entries if through is None or e["n"] <= through]
     if not old:
         _fail(1, "there is nothing to archive")
-    files = _extra("archive")
-    files.write(target, books.base, old)
-    if (again := files.read(target)) != LedgerContents(books.base, old):
-        _fail(1, f"{target} does not hold what was written: nothing was deleted")
+    parquet = _import_extra("archive")
+    parquet.write(target, contents.base, old)
+    if (read_back := parquet.read(target)) != LedgerContents(contents.base, old):
+        _fail(1, f"{target} differs from what was written; no entries were deleted")
     try:
-        count = compact(_store(state, config), replay(again.base, again.entries).base)
+        count = compact(_store(state, config), replay(read_back.base, read_back.entries).base)
     except LedgerError as error:
         _fail(1, error)
     except StoreUnavailable as error:
--- a/kelpjunction/cli/serve.py
+++ b/kelpjunction/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve` and `check`: run one controller, or look at its settings only."""
+"""`serve` and `check`: run one controller, or only check its settings."""
 
 import os
 import signal
@@ -17,8 +17,8 @@
 )
 
 OPERATORS_VARIABLE = "KELPJUNCTION_OPERATORS"
-_config = click.option("--config", required=True, type=click.Path(), help="The platform's settings file (TOML).")
-_operators = click.option(
+_config_option = click.option("--config", required=True, type=click.Path(), help="The platform's settings file (TOML).")
+_operators_option = click.option(
     "--operators",
     type=click.Path(),
     envvar=OPERATORS_VARIABLE,
@@ -35,15 +35,15 @@
 
 
 def dump_on_signal(dump: Callable[[], None]) -> None:
-    """Have the last decisions written out at each SIGUSR1."""
+    """Call `dump`, which writes the last decisions into the log, at each SIGUSR1."""
     signal.signal(signal.SIGUSR1, lambda number, frame: dump())
 
 
 @click.command()
-@_config
-@_operators
+@_config_option
+@_operators_option
 def check(config: str, operators: str | None) -> None:
-    """Check both settings files; exit code 2 names what is wrong.
+    """Check both settings files; exit code 2 if one is wrong, with the reason.
 
     \b
     Example:
@@ -54,8 +54,8 @@
 
 
 @click.command()
-@_config
-@_operators
+@_config_option
+@_operators_option
 @click.option("--check", "only_check", is_flag=True, help="Check both settings files and exit.")
 @click.version_option(__version__)
 def serve(config: str, operators: str | None, only_check: bool) -> None:
@@ -68,14 +68,14 @@
     Example:
       kelpjunction serve --config tests/example.toml
     """
-    platform, tuning = _load(config, operators)
+    platform, operator_settings = _load(config, operators)
     if only_check:
         click.echo(f"{platform.node}: settings are valid")
         return
-    # Imported late: --check and --help should not pay for the servers.
+    # Imported here so that --check and --help do not load the servers.
     from kelpjunction.daemon import Daemon
 
-    daemon = Daemon(platform, tuning)
+    daemon = Daemon(platform, operator_settings)
     try:
         logs.set_up(
             os.environ.get("LOG_LEVEL", "info"), os.environ.get("LOG_FORMAT", "line"), platform.node, daemon.term
