--- a/kelpjunction/wire/__init__.py
+++ b/kelpjunction/wire/__init__.py
@@ -1,6 +1,6 @@
-"""The protocol's spellings, and nothing else.
+"""Encodes and decodes the protocol's messages, and does nothing else.
 
-This is the only slice that knows how the platform names things (`helm`,
-`frond`, `holdfast`...).  It owns no state: it turns messages into the values
-of `kelpjunction.wire.messages` and back.
+This is the only package that knows the platform's names (`helm`, `frond`,
+`holdfast`...).  It has no state: it turns messages into the values of
+`kelpjunction.wire.messages` and back.
 """
--- a/kelpjunction/wire/cloud.py
+++ b/kelpjunction/wire/cloud.py
@@ -13,13 +13,13 @@
 RETURN_PATH = "/rentals/return"
 MAX_RENT = 50
 MAX_RETURN = 100
-PAGE = 500
+PAGE_SIZE = 500
 
 _STATES = {"starting": "booting", "running": "running", "failed": "failed"}
 
 
 def parse_catalog(fields: dict) -> dict[str, MachineType]:
-    """The machine types on offer."""
+    """Parse the cloud's catalog: machine types by name; raises `MalformedMessage`."""
     try:
         return {
             t["label"]: MachineType(
@@ -41,12 +41,12 @@
 
 
 def rent_body(request: str, type_: str, zone: str, spot: bool, count: int) -> bytes:
-    """A request for machines."""
+    """The body of a request to rent `count` machines."""
     return orjson.dumps({"charter": request, "hull": type_, "bay": zone, "driftwood": spot, "number": count})
 
 
 def parse_rented(fields: dict) -> tuple[str, ...]:
-    """The names of the machines rented."""
+    """Parse the names of the rented machines; raises `MalformedMessage`."""
     names = fields.get("holdfasts")
     if not isinstance(names, list) or not all(isinstance(n, str) for n in names):
         raise MalformedMessage("rental answer without holdfasts")
@@ -54,18 +54,18 @@
 
 
 def return_body(machines: list[str]) -> bytes:
-    """Machines to give back."""
+    """The body of a request to return machines."""
     return orjson.dumps({"holdfasts": machines})
 
 
 def list_path(after: str | None) -> str:
-    """Where one page of the machine list is read."""
+    """The path of one page of the machine list, after the machine `after`."""
     since = f"since={quote(after)}&" if after else ""
-    return f"{RENT_PATH}?{since}most={PAGE}"
+    return f"{RENT_PATH}?{since}most={PAGE_SIZE}"
 
 
 def parse_list(fields: dict) -> tuple[tuple[ListedMachine, ...], bool]:
-    """One page of the machine list, and whether more follow."""
+    """Parse one page of the machine list; returns its machines and whether more pages follow."""
     try:
         machines = tuple(
             ListedMachine(
--- a/kelpjunction/wire/messages.py
+++ b/kelpjunction/wire/messages.py
@@ -1,4 +1,4 @@
-"""The values that messages carry, in the field's standard terms."""
+"""The values that messages carry, under the standard terms of the field."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 
 class Shape(Enum):
-    """What kind of job: independent tasks, all at once, or replicas."""
+    """The kind of a job: independent tasks, tasks that all run at once, or replicas."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -15,7 +15,7 @@
 
 
 class Priority(IntEnum):
-    """Who may stop whom; the larger number wins."""
+    """A job's priority: jobs of a larger number may preempt those of a smaller one."""
 
     LOW = 0
     NORMAL = 1
@@ -44,7 +44,7 @@
     INSUFFICIENT_RESOURCES = "no room"
     IN_USE = "in use"
     UNKNOWN = "unknown"
-    MACHINE_LOST = "machine lost"  # never on the wire: our own verdict
+    MACHINE_LOST = "machine lost"  # never on the wire: set by the controllers
 
 
 class JobPhase(Enum):
@@ -68,7 +68,7 @@
     tasks: int
     cpus: float
     gpus: float
-    memory: float
+    memory: float  # in GB
     image: str
     image_gb: float
     types: tuple[str, ...] | None
@@ -83,7 +83,7 @@
 
     @property
     def needs(self) -> tuple:
-        """What a task asks of its machine: jobs that need the same find room in the same places."""
+        """What a task requires of its machine: jobs with equal needs fit on the same machines."""
         return self.types, self.zone, self.spot, self.cpus, self.gpus, self.memory
 
 
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a worker says of its machine."""
+    """A worker's periodic report about its machine."""
 
     machine: str
     address: str
@@ -124,7 +124,7 @@
 
 
 class Verb(Enum):
-    """What a worker can be told."""
+    """The kinds of commands to a worker."""
 
     START = "start"
     STOP = "stop"
@@ -142,12 +142,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
-    """One line of the cloud's catalog."""
+    """One entry of the cloud's catalog."""
 
     name: str
     cpus: float
     gpus: float
-    memory: float
+    memory: float  # in GB
     cache_gb: float
     fetch_gb_per_s: float
     price: float
@@ -157,7 +157,7 @@
 
 
 class ListedMachine(NamedTuple):
-    """One line of the cloud's machine list."""
+    """One entry of the cloud's machine list."""
 
     machine: str
     address: str
--- a/kelpjunction/wire/state.py
+++ b/kelpjunction/wire/state.py
@@ -15,7 +15,7 @@
 
 
 class Change(NamedTuple):
-    """One key's new value; None means that it was deleted."""
+    """The new value of one key; None means that the key was deleted."""
 
     key: str
     value: Any
@@ -46,7 +46,7 @@
 def commit_body(
     guards: Mapping[str, int], puts: Mapping[str, Any], deletes: Iterable[str], leases: Mapping[str, int]
 ) -> bytes:
-    """A transaction; `leases` names the hold that a put is attached to."""
+    """The body of a transaction; `leases` has the store lease of each key that is attached to one."""
     then: list[dict] = []
     for key, value in puts.items():
         change = {"set": key, "data": value}
@@ -68,10 +68,10 @@
 
 
 def parse_lease(fields: dict) -> int:
-    hold = fields.get("mooring")
-    if not isinstance(hold, int):
+    lease = fields.get("mooring")
+    if not isinstance(lease, int):
         raise MalformedMessage("hold answer without mooring")
-    return hold
+    return lease
 
 
 def parse_conflicting_keys(fields: dict) -> tuple[str, ...]:
@@ -87,7 +87,7 @@
 
 
 def parse_page(fields: dict) -> tuple[list[Change], bool, int]:
-    """One page of a listing: its entries, whether more follow, the revision it was read at."""
+    """Parse one page of a listing: its entries, whether more pages follow, and the revision it was read at."""
     pairs = fields.get("pairs")
     if not isinstance(pairs, list):
         raise MalformedMessage("state service listing without pairs")
@@ -95,12 +95,12 @@
 
 
 def parse_news(fields: dict) -> tuple[list[Change], int]:
-    """The changes a follow brought, and the revision it reached."""
+    """Parse a watch's answer: the changes, and the revision up to which they are complete."""
     try:
-        news = [
+        changes = [
             Change(n["set"], n["data"], int(n["stamp"])) if "set" in n else Change(n["delete"], None, int(n["stamp"]))
             for n in fields.get("news") or ()
         ]
     except (KeyError, TypeError, ValueError) as error:
         raise MalformedMessage(f"follow answer: {error!r}") from error
-    return news, parse_revision(fields)
+    return changes, parse_revision(fields)
--- a/kelpjunction/wire/users.py
+++ b/kelpjunction/wire/users.py
@@ -32,7 +32,7 @@
 _name = {"type": "string", "minLength": 1, "maxLength": 200}
 _amount = {"type": "number", "minimum": 0, "maximum": 1e9}
 _flag = {"type": "boolean"}
-# What a submission need not say: PROTOCOL lets only fields that may be null be left out.
+# Fields that a submission may leave out: PROTOCOL allows this only for fields that may be null.
 _NULLABLE = ("hulls", "bay", "due_s")
 
 _fields = {
@@ -62,16 +62,16 @@
 
 
 class MalformedMessage(Exception):
-    """A message that breaks the protocol; the text names the field."""
+    """A message that violates the protocol; the text names the field."""
 
 
 def valid_ref(ref: Any) -> bool:
-    """Whether this can be a job's id at all."""
+    """Whether this value has the form of a job's id."""
     return isinstance(ref, str) and _REF.match(ref) is not None
 
 
 def parse_object(body: bytes) -> dict:
-    """The JSON object in a body."""
+    """Parse a body as a JSON object; raises `MalformedMessage`."""
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -82,7 +82,7 @@
 
 
 def parse_job(fields: dict) -> JobSpec:
-    """A submission's fields as a job; raises `MalformedMessage` naming the first wrong field."""
+    """Parse a submission's fields as a job; raises `MalformedMessage`, which names the first wrong field."""
     if not valid_ref(fields.get("ref")):
         raise MalformedMessage("ref must look like j-000412")
     try:
@@ -93,7 +93,10 @@
 
 
 def job_from_fields(fields: dict) -> JobSpec:
-    """A job from fields that were checked when they were accepted, perhaps by a version that asked for fewer."""
+    """Build a job from stored fields without a check.
+
+    They were checked when they were accepted, perhaps by an older version that required fewer fields.
+    """
     types = fields.get("hulls")
     deadline = fields.get("due_s")
     return JobSpec(
@@ -121,7 +124,7 @@
 
 
 def fields_from_job(spec: JobSpec) -> dict:
-    """A job as its user submits it: what `parse_job` makes this job of again."""
+    """A job as submission fields, the inverse of `parse_job`."""
     return {
         "ref": spec.ref, "stripe": spec.klass, "crew": spec.team,
         "shape": next(name for name, known in _SHAPES.items() if known is spec.shape),
@@ -135,16 +138,16 @@
     }  # fmt: skip
 
 
-_KEPT = frozenset({"ref", *_fields})
+_STORED_FIELDS = frozenset({"ref", *_fields})
 
 
 def fields_to_keep(fields: dict) -> dict:
-    """The part of a submission that is stored: the known fields that say something."""
-    return {name: value for name, value in fields.items() if name in _KEPT and value is not None}
+    """The part of a submission that is stored: the known fields that are not null."""
+    return {name: value for name, value in fields.items() if name in _STORED_FIELDS and value is not None}
 
 
 def job_answer(ref: str, phase: JobPhase, done: int | None = None, running: int | None = None) -> bytes:
-    """The body that tells a user how a job stands."""
+    """The body that tells a user a job's phase and, if given, its number of tasks done and running."""
     fields: dict[str, Any] = {"ref": ref, "tide": _PHASES[phase]}
     if done is not None:
         fields |= {"done": done, "running": running}
@@ -152,7 +155,7 @@
 
 
 def job_fields(ref: str, team: str, shape: str, tasks: int, cpus: float, memory: float, run: float) -> dict:
-    """A plain submission: `shape` is array, gang or service; `memory` in GB, `run` in seconds."""
+    """The fields of a simple submission: `shape` is array, gang or service; `memory` is in GB, `run` in seconds."""
     fields = {
         "ref": ref, "stripe": "command-line", "crew": team, "fronds": tasks, "cpus": cpus, "ram_gb": memory,
         "shape": next(name for name, known in _SHAPES.items() if known.value == shape),
@@ -164,10 +167,10 @@
 
 
 def is_final(answer: dict) -> bool:
-    """Whether an answer about a job will never change."""
+    """Whether an answer about a job is final."""
     return answer.get("tide") in (_PHASES[JobPhase.DONE], _PHASES[JobPhase.CANCELLED])
 
 
 def error_answer(text: str) -> bytes:
-    """The body of a refusal: one plain line."""
+    """The body of an error answer: one line of at most 500 characters."""
     return orjson.dumps({"error": text.replace("\n", " ")[:500]})
--- a/kelpjunction/wire/workers.py
+++ b/kelpjunction/wire/workers.py
@@ -67,12 +67,12 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """A worker's report; raises `MalformedMessage` and leaves it to the caller to touch nothing."""
+    """Parse a worker's report; raises `MalformedMessage`, after which the caller must change nothing."""
     return report_from_fields(parse_object(body))
 
 
 def report_from_fields(fields: dict) -> Report:
-    """A worker's report from a decoded body."""
+    """Parse a worker's report from a decoded body; raises `MalformedMessage`."""
     try:
         _check_report(fields)
     except fastjsonschema.JsonSchemaValueException as error:
@@ -88,28 +88,28 @@
         sequence=int(fields["tally"]),
         token=int(fields.get("helm") or 0),
         termination_notice=None if notice is None else seconds(notice),
-        tasks=tuple(_task(t) for t in fields.get("fronds") or ()),
+        tasks=tuple(_task_report(t) for t in fields.get("fronds") or ()),
     )
 
 
-def _task(fields: dict) -> TaskReport:
+def _task_report(fields: dict) -> TaskReport:
     state = _STATES[fields["tide"]]
     cause = None
     if state is TaskState.EXITED:
-        # A cause nobody told us of is treated like a failure of the task.
+        # A cause that the protocol does not list is treated as a failure of the task.
         cause = _CAUSES.get(fields.get("cause"), ExitCause.ERROR)
     return TaskReport(parse_task(fields["frond"]), int(fields["launch"]), state, cause, bool(fields.get("kept")))
 
 
 def parse_task(text: str) -> TaskId:
-    """`j-000412/3` as a task."""
+    """Parse a task's id such as `j-000412/3`; raises `MalformedMessage`."""
     ref, _, index = text.partition("/")
     if not valid_ref(ref) or not index.isdigit():
         raise MalformedMessage(f"frond {text!r} is not a task")
     return TaskId(ref, int(index))
 
 
-def _order(command: Command) -> dict:
+def _command_fields(command: Command) -> dict:
     fields = {"verb": _VERBS[command.verb], "frond": str(command.task), "launch": command.attempt}
     if command.verb is Verb.STOP:
         fields["slack_s"] = command.grace.total_seconds()
@@ -117,15 +117,15 @@
 
 
 def check_in_answer(token: int, commands: Iterable[Command]) -> bytes:
-    """The 200 that renews a worker's lease."""
-    return orjson.dumps({"helm": token, "orders": [_order(c) for c in commands]})
+    """The body of the 200 response that renews a worker's lease."""
+    return orjson.dumps({"helm": token, "orders": [_command_fields(c) for c in commands]})
 
 
 def commands_body(token: int, session: int, commands: Iterable[Command]) -> bytes:
-    """Commands sent straight to a worker."""
-    return orjson.dumps({"helm": token, "watch": session, "orders": [_order(c) for c in commands]})
+    """The body of commands sent directly to a worker."""
+    return orjson.dumps({"helm": token, "watch": session, "orders": [_command_fields(c) for c in commands]})
 
 
 def redirect_answer(node: str | None) -> bytes:
-    """The 421 that sends a worker elsewhere."""
+    """The body of the 421 response that redirects a worker to another node, if one is known."""
     return orjson.dumps({} if node is None else {"harbour": node})
