--- a/kelpjunction/tickets/classes.py
+++ b/kelpjunction/tickets/classes.py
@@ -1,4 +1,7 @@
-"""Ticket classes: how often the same ticket may run, as the operators' file says.  The rule itself is pure."""
+"""Ticket classes: how often the same ticket may run, as set in the operators' file.
+
+`runs_again` applies the rule and has no side effects.
+"""
 
 from dataclasses import dataclass
 from datetime import datetime, timedelta
@@ -13,8 +16,8 @@
 from kelpjunction.tickets.progress import FinalRecord, FinalState
 
 SCHEMA = orjson.loads(Path(__file__).with_name("tickets.schema.json").read_bytes())
-_check = fastjsonschema.compile(SCHEMA)
-_fill_in = fastjsonschema.compile(SCHEMA["properties"]["classes"]["additionalProperties"])
+_check_settings = fastjsonschema.compile(SCHEMA)
+_with_defaults = fastjsonschema.compile(SCHEMA["properties"]["classes"]["additionalProperties"])
 
 
 class RerunPolicy(Enum):
@@ -28,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketClass:
-    """A ticket class; the schema holds the defaults and says what each part means."""
+    """A ticket class; the schema has the defaults and describes each field."""
 
     name: str
     rerun_policy: RerunPolicy
@@ -36,7 +39,7 @@
     min_rerun_interval: timedelta
     retention: timedelta
     failure_limit: int
-    continue_on_failure: bool  # whether steps go on that do not depend on a failed one
+    continue_on_failure: bool  # whether steps that do not depend on a failed step continue
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,12 +53,12 @@
     classes: dict[str, TicketClass]
 
     def ticket_class(self, name: str) -> TicketClass:
-        """The class of an accepted ticket, also if it was taken out of the file meanwhile."""
+        """The class of an accepted ticket; if it was removed from the file since, the defaults with a single run."""
         return self.classes.get(name) or _class(name, {"runs": RerunPolicy.ONCE.value})
 
 
 def _class(name: str, raw: dict) -> TicketClass:
-    raw = _fill_in(dict(raw))
+    raw = _with_defaults(dict(raw))
     return TicketClass(
         name, RerunPolicy(raw["runs"]), raw["times"], seconds(raw["pause_s"]), seconds(raw["remember_s"]),
         raw["failures"],
@@ -64,9 +67,9 @@
 
 
 def load_tickets(path: str | Path) -> TicketSettings:
-    """Read and check a gateway's file; raises `SettingsError`, which names the field."""
+    """Read and check a gateway's settings file; raises `SettingsError`, which names the field."""
     try:
-        raw = _check(orjson.loads(Path(path).read_bytes()))
+        raw = _check_settings(orjson.loads(Path(path).read_bytes()))
     except (OSError, orjson.JSONDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     except fastjsonschema.JsonSchemaValueException as error:
@@ -76,13 +79,13 @@
 
 
 def runs_again(klass: TicketClass, run: int, end: FinalRecord | None, now: datetime) -> bool:
-    """Whether a ticket that comes again gets a new run after its run of this number; `end` is None while that lasts."""
+    """Whether a ticket submitted again gets a new run after run number `run`; `end` is None until that has ended."""
     if klass.rerun_policy is RerunPolicy.ALWAYS:
         return True
     if end is None:
         return False
     if now >= end.remembered_until:
-        return True  # it is forgotten, whether or not its records are gone yet
+        return True  # its retention is over, whether or not its records are deleted yet
     if klass.rerun_policy is RerunPolicy.AFTER_FAILURE:
         return end.final_state is FinalState.FAILED and run < klass.max_runs
     return klass.rerun_policy is RerunPolicy.AFTER_PAUSE and now - end.ended_at >= klass.min_rerun_interval
--- a/kelpjunction/tickets/gateway.py
+++ b/kelpjunction/tickets/gateway.py
@@ -1,8 +1,8 @@
-"""One ticket gateway: wires its slices together, serves users and runs its loops.
+"""One ticket gateway: connects its parts, serves users and runs its loops.
 
-It is a process of its own.  Nodes know nothing of it: a ticket's steps become
-job records that it commits as a node's intake does, and how they go it sees in
-the records that every node follows.
+A gateway is a separate process that nodes do not know of.  It commits the job
+records of a ticket's steps as a node's intake does, and it learns their state
+from the records that every node mirrors.
 """
 
 import gc
@@ -40,16 +40,16 @@
 
 log = logging.getLogger("tickets")
 
-WRITE_SHARE = 0.2  # of the state service's rate of changes: the nodes' rounds need the most
-REQUEST_SHARE = 0.05  # of its rate of requests, for watches and comparisons
+WRITE_SHARE = 0.2  # of the state service's rate of changes; the nodes' rounds need most of it
+REQUEST_SHARE = 0.05  # of the state service's rate of requests, for watches and version checks
 RECONCILE_INTERVAL = seconds(0.25)
-SWEEP_EVERY = seconds(10)
-MOST_CONNECTIONS = 500  # of users
-CONNECTIONS = 8  # to the state service
+SWEEP_INTERVAL = seconds(10)
+MAX_USER_CONNECTIONS = 500
+STORE_CONNECTIONS = 8
 
 
 class Gateway:
-    """The slices of one gateway, without servers or loops: tests drive it by hand."""
+    """The parts of one gateway, without servers or loops: tests call its methods directly."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self._catalog: tuple[int, dict[str, MachineType]] = (0, {})
         self.leadership = Leadership(
             replace(platform, node=settings.name), operators, self.store, self.tickets, clock,
-            f"{random_source.getrandbits(64):016x}", self._reign_changed, Recorder(clock), PREFIX,
+            f"{random_source.getrandbits(64):016x}", self._leader_term_changed, Recorder(clock), PREFIX,
         )  # fmt: skip
         self.records = TicketRecords(self.store, self.tickets, self.jobs, clock)
         steps = StepPlanner(settings, self.store, self.jobs, self.records, self.job_index, clock, watches[0])
@@ -86,11 +86,11 @@
             clock, random_source,
         )  # fmt: skip
 
-    def _reign_changed(self, leader_term: LeaderTerm | None) -> None:
+    def _leader_term_changed(self, leader_term: LeaderTerm | None) -> None:
         self.reconciler.set_leader_term(leader_term)
 
     def catalog(self) -> dict[str, MachineType]:
-        """The machine types as the nodes' leader last read them; empty if unknown yet."""
+        """The machine types that the nodes' leader last read from the cloud; empty until they are known."""
         entry = self.jobs.get(CATALOG_KEY)
         if entry is not None and entry.version != self._catalog[0]:
             self._catalog = entry.version, parse_catalog(entry.value)
@@ -101,33 +101,33 @@
         return self.jobs.loaded and self.tickets.loaded and self.tickets.fresh
 
     def follow(self, mirror: Mirror) -> bool:
-        """Take in the next changes; False if the state service was of no use."""
+        """Apply the next changes to a mirror; False if the state service was unavailable."""
         try:
             mirror.watch_once()
         except StoreUnavailable as error:
-            log.debug("follow: %s", error)
+            log.debug("watch of the state service failed: %s", error)
             return False
         return True
 
     def reconcile(self) -> bool:
-        """A step as the one that drives, if this gateway is; whether another should follow at once."""
+        """Advance runs once if this gateway leads; returns whether to call it again at once."""
         if not (self.jobs.loaded and self.tickets.loaded):
             return False
         try:
             return self.reconciler.run_once()
         except StoreUnavailable as error:
-            log.debug("step given up: %s", error)
+            log.debug("reconcile pass aborted: %s", error)
             return False
 
     def sweep(self) -> None:
         try:
             self.reconciler.sweep()
         except StoreUnavailable as error:
-            log.debug("swept later: %s", error)
+            log.debug("sweep aborted, the next one continues: %s", error)
 
 
 class Application:
-    """What ticket users and a load balancer reach."""
+    """The WSGI application for ticket users and load balancers."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
@@ -143,19 +143,19 @@
         return respond(start_response, answer)
 
     def _route(self, method: str, path: str, environ: dict) -> UserResponse:
-        desk = self._gateway.ticket_requests
+        requests = self._gateway.ticket_requests
         if path == HEALTH_PATH:
             return UserResponse(200 if self._gateway.healthy else 503, b"{}")
         if path == users.TICKETS_PATH:
-            return desk.submit(body_of(environ)) if method == "POST" else not_allowed()
+            return requests.submit(body_of(environ)) if method == "POST" else not_allowed()
         if path.startswith(users.TICKETS_PATH + "/"):
             name = path.removeprefix(users.TICKETS_PATH + "/")
             if name.endswith(users.CANCEL_END):
                 if method != "POST":
                     return not_allowed()
                 body_of(environ)
-                return desk.cancel(name.removesuffix(users.CANCEL_END))
-            return desk.show(name) if method == "GET" else not_allowed()
+                return requests.cancel(name.removesuffix(users.CANCEL_END))
+            return requests.show(name) if method == "GET" else not_allowed()
         return UserResponse(404, error_answer("no such path"))
 
 
@@ -166,37 +166,37 @@
         self._settings = settings
         self._random = random.Random()
         self.gateway = Gateway(
-            platform, operators, settings, HttpTransport(CONNECTIONS), (HttpTransport(1), HttpTransport(1)),
+            platform, operators, settings, HttpTransport(STORE_CONNECTIONS), (HttpTransport(1), HttpTransport(1)),
             SystemClock(), gevent.spawn, sleep, self._random,
         )  # fmt: skip
 
     def term(self) -> int | None:
-        """The term this gateway drives in, or None."""
-        reign = self.gateway.leadership.leader_term
-        return None if reign is None else reign.term
+        """The term in which this gateway leads, or None."""
+        leader_term = self.gateway.leadership.leader_term
+        return None if leader_term is None else leader_term.term
 
     def run_forever(self) -> None:
         """Serve until the process is killed."""
-        server(self._settings.listen, Application(self.gateway), Pool(MOST_CONNECTIONS)).start()
+        server(self._settings.listen, Application(self.gateway), Pool(MAX_USER_CONNECTIONS)).start()
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         log.info("%s serves ticket users on %s", self._settings.name, self._settings.listen)
-        loops = [self._follow_jobs, self._follow_tickets, self._lead, self._drive, self._sweep]
+        loops = [self._follow_jobs, self._follow_tickets, self._lead, self._reconcile, self._sweep]
         gevent.joinall([gevent.spawn(self._guard, loop) for loop in loops])
 
     def _guard(self, loop: Callable[[], None]) -> None:
-        """Run a loop's turns for ever: an odd reply must never end the process."""
+        """Repeat a loop's body without end; an exception, as from an unexpected reply, must not end the process."""
         while True:
             try:
                 loop()
             except Exception:
-                log.exception("a turn of %s failed", loop.__name__)
+                log.exception("iteration of loop %s failed", loop.__name__)
                 sleep(PAUSE_AFTER_TROUBLE)
 
     def _follow(self, mirror: Mirror) -> None:
-        heard = self.gateway.follow(mirror)
-        sleep(seconds(1 / self.gateway.request_rate) if heard else PAUSE_AFTER_TROUBLE)
+        answered = self.gateway.follow(mirror)
+        sleep(seconds(1 / self.gateway.request_rate) if answered else PAUSE_AFTER_TROUBLE)
 
     def _follow_jobs(self) -> None:
         self._follow(self.gateway.jobs)
@@ -208,10 +208,10 @@
         self.gateway.leadership.run_once()
         sleep(self.gateway.leadership.heartbeat_interval if self.gateway.tickets.loaded else RECONCILE_INTERVAL)
 
-    def _drive(self) -> None:
+    def _reconcile(self) -> None:
         if not self.gateway.reconcile():
             sleep(RECONCILE_INTERVAL)
 
     def _sweep(self) -> None:
-        sleep(SWEEP_EVERY)
+        sleep(SWEEP_INTERVAL)
         self.gateway.sweep()
--- a/kelpjunction/tickets/plan.py
+++ b/kelpjunction/tickets/plan.py
@@ -1,7 +1,8 @@
-"""What a ticket becomes: an array job for each step, started when the steps it depends on are done.  Pure.
+"""Turns a ticket into jobs: one array job for each step, started when the steps it depends on are done.
 
-A ticket is taken whole or refused whole.  A refusal lists every fault found,
-each with its path in the ticket, the value there and the rule it breaks.
+The functions here have no side effects.  A ticket is accepted or rejected as a
+whole.  A rejection lists every violation found, each with its path in the
+ticket, the value there and the rule that it breaks.
 """
 
 import hashlib
@@ -17,14 +18,14 @@
 from kelpjunction.wire import users
 from kelpjunction.wire.messages import JobSpec, Priority, Shape
 
-MOST_TASKS = 100_000  # of a job, as PROTOCOL says
-MOST_STEPS = 100
-REF_DIGITS = 30  # of a job's id, at most
-MIB_A_GB = 1024
+MAX_TASKS = 100_000  # of a job, as PROTOCOL says
+MAX_STEPS = 100
+MAX_REF_DIGITS = 30  # the largest number of digits in a job's id
+MIB_PER_GB = 1024
 
 
 class Violation(NamedTuple):
-    """One thing that is wrong with a ticket."""
+    """One rule that a ticket breaks."""
 
     path: str
     value: str
@@ -36,20 +37,20 @@
 
 
 class TicketRejected(Exception):
-    """A ticket can't be taken; `violations` lists why, all that were found.
+    """A ticket was rejected; `violations` lists every reason found.
 
-    `status` is what HTTP says: 400 for a malformed ticket, 422 for one that can never run.
+    `status` is the HTTP status: 400 for a malformed ticket, 422 for one that can never run.
     """
 
-    def __init__(self, faults: Iterable[Violation], status: int = 400) -> None:
-        self.violations = list(faults)
+    def __init__(self, violations: Iterable[Violation], status: int = 400) -> None:
+        self.violations = list(violations)
         self.status = status
         super().__init__("; ".join(map(str, self.violations)))
 
 
 @dataclass(frozen=True, slots=True)
 class Amount:
-    """An amount that a step asks of its machine."""
+    """An amount that a step requires of its machine."""
 
     name: str
     least: Decimal | None
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attribute:
-    """An attribute that a step asks of its machine."""
+    """An attribute that a step requires of its machine."""
 
     name: str
     any_of: tuple[str, ...] = ()
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A step as its ticket has it, with its parameters resolved; `parameters` gives those of a task by its index."""
+    """A step of a ticket with its parameters resolved; `parameters` returns those of one task by its index."""
 
     name: str
     tasks: int
@@ -79,16 +80,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmissionOptions:
-    """What the format has no place for, given with a ticket: who pays, how urgent, what images and how long."""
+    """Options sent with a ticket because its format has no field for them: team, class, priority, image, run time."""
 
     team: str
     klass: str = "ticket"  # the ticket's class, and that of its jobs
     priority: Priority = Priority.NORMAL
     image: str = "none"
     image_gb: float = 0.0
-    estimate: timedelta = timedelta(minutes=1)  # of a task's run
-    cpus: float = 1.0  # where a step names none
-    memory: float = 1.0  # GB, where a step names none
+    estimate: timedelta = timedelta(minutes=1)  # how long a task runs
+    cpus: float = 1.0  # for steps that name no amount
+    memory: float = 1.0  # in GB, for steps that name no amount
     spot: bool = False
 
 
@@ -97,20 +98,20 @@
     """The job that a step becomes."""
 
     name: str
-    depends_on: tuple[int, ...]  # the places in the plan of the jobs that must be done before
+    depends_on: tuple[int, ...]  # indexes in the plan of the jobs that must be done first
     spec: JobSpec
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A ticket as jobs, each after those it depends on."""
+    """A ticket's jobs, ordered so that each follows the jobs it depends on."""
 
     ticket: str
     name: str
     jobs: tuple[StepJob, ...]
 
     def record(self) -> dict:
-        """All of it, as JSON."""
+        """The whole plan as a JSON object; `parse` reads it back."""
         jobs = [[j.name, j.depends_on, users.fields_to_keep(users.fields_from_job(j.spec))] for j in self.jobs]
         return {"ticket": self.ticket, "name": self.name, "jobs": jobs}
 
@@ -125,62 +126,62 @@
 
 
 def ticket_id(content: Any) -> str:
-    """The id of a ticket whose client gives none: the same content, however its keys are ordered, has the same."""
+    """The id of a ticket sent without one: a digest of its content that does not depend on the order of keys."""
     canonical = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return "t-" + hashlib.blake2b(canonical, digest_size=16).hexdigest()
 
 
-def job_ref(ticket: str, place: int) -> str:
-    """The id of the job at this place of a ticket's plan."""
-    digest = hashlib.blake2b(f"{ticket}/{place}".encode(), digest_size=16).digest()
-    return f"j-{int.from_bytes(digest) % 10**REF_DIGITS:0{REF_DIGITS}d}"
+def job_ref(ticket: str, index: int) -> str:
+    """The id of the job at this index of a ticket's plan."""
+    digest = hashlib.blake2b(f"{ticket}/{index}".encode(), digest_size=16).digest()
+    return f"j-{int.from_bytes(digest) % 10**MAX_REF_DIGITS:0{MAX_REF_DIGITS}d}"
 
 
-def build_plan(ticket: str, name: str, steps: list[Step], order: SubmissionOptions) -> Plan:
-    """The jobs of a ticket; raises `TicketRejected` with everything that can't be mapped."""
-    faults: list[Violation] = []
-    if len(steps) > MOST_STEPS:
-        faults.append(Violation("steps", str(len(steps)), f"a ticket has at most {MOST_STEPS} steps"))
-    places = {step.name: place for place, step in enumerate(_in_turn(steps))}
+def build_plan(ticket: str, name: str, steps: list[Step], options: SubmissionOptions) -> Plan:
+    """Build a ticket's jobs; raises `TicketRejected` with everything that can't be mapped to a job."""
+    violations: list[Violation] = []
+    if len(steps) > MAX_STEPS:
+        violations.append(Violation("steps", str(len(steps)), f"a ticket has at most {MAX_STEPS} steps"))
+    indexes = {step.name: index for index, step in enumerate(_dependency_order(steps))}
     jobs: dict[str, StepJob] = {}
     for number, step in enumerate(steps):
         path = f"steps[{number}]"
-        needs = _Needs(f"{path}.hostRequirements", faults)
-        needs.read(step)
-        if not 1 <= step.tasks <= MOST_TASKS:
-            rule = f"a step has 1 to {MOST_TASKS} tasks"
-            faults.append(Violation(f"{path}.parameterSpace", str(step.tasks), rule))
+        requirements = _Requirements(f"{path}.hostRequirements", violations)
+        requirements.read(step)
+        if not 1 <= step.tasks <= MAX_TASKS:
+            rule = f"a step has 1 to {MAX_TASKS} tasks"
+            violations.append(Violation(f"{path}.parameterSpace", str(step.tasks), rule))
         spec = JobSpec(
-            ref=job_ref(ticket, places[step.name]), klass=order.klass, team=order.team, shape=Shape.ARRAY,
-            priority=order.priority,
-            tasks=step.tasks, cpus=order.cpus if needs.cpus is None else needs.cpus, gpus=needs.gpus,
-            memory=order.memory if needs.memory is None else needs.memory, image=order.image,
-            image_gb=order.image_gb, types=needs.types, zone=needs.zone, one_zone=False, spread=False,
-            spot=order.spot, estimate=order.estimate, checkpoint=ZERO, save=ZERO, deadline=None,
+            ref=job_ref(ticket, indexes[step.name]), klass=options.klass, team=options.team, shape=Shape.ARRAY,
+            priority=options.priority, tasks=step.tasks,
+            cpus=options.cpus if requirements.cpus is None else requirements.cpus, gpus=requirements.gpus,
+            memory=options.memory if requirements.memory is None else requirements.memory, image=options.image,
+            image_gb=options.image_gb, types=requirements.types, zone=requirements.zone, one_zone=False, spread=False,
+            spot=options.spot, estimate=options.estimate, checkpoint=ZERO, save=ZERO, deadline=None,
         )  # fmt: skip
-        jobs[step.name] = StepJob(step.name, tuple(sorted(places[d] for d in step.depends_on)), spec)
-    if faults:
-        raise TicketRejected(faults)
-    return Plan(ticket, name, tuple(jobs[step.name] for step in sorted(steps, key=lambda s: places[s.name])))
-
-
-def _in_turn(steps: list[Step]) -> list[Step]:
-    """The steps, each after those it depends on, else in the ticket's order; the validator has ruled out circles."""
-    left, done, turn = list(steps), set(), []
-    while left:
-        ready = next(step for step in left if done.issuperset(step.depends_on))
-        left.remove(ready)
+        jobs[step.name] = StepJob(step.name, tuple(sorted(indexes[d] for d in step.depends_on)), spec)
+    if violations:
+        raise TicketRejected(violations)
+    return Plan(ticket, name, tuple(jobs[step.name] for step in sorted(steps, key=lambda s: indexes[s.name])))
+
+
+def _dependency_order(steps: list[Step]) -> list[Step]:
+    """Sort steps after those they depend on, else in the ticket's order; the validator has ruled out cycles."""
+    remaining, done, ordered = list(steps), set(), []
+    while remaining:
+        ready = next(step for step in remaining if done.issuperset(step.depends_on))
+        remaining.remove(ready)
         done.add(ready.name)
-        turn.append(ready)
-    return turn
+        ordered.append(ready)
+    return ordered
 
 
-class _Needs:
-    """What a step's host requirements come to; what can't be mapped is a fault."""
+class _Requirements:
+    """Maps a step's host requirements to a job's fields; what can't be mapped becomes a violation."""
 
-    def __init__(self, path: str, faults: list[Violation]) -> None:
+    def __init__(self, path: str, violations: list[Violation]) -> None:
         self._path = path
-        self._faults = faults
+        self._violations = violations
         self.cpus: float | None = None
         self.memory: float | None = None
         self.gpus = 0.0
@@ -189,42 +190,55 @@
 
     def read(self, step: Step) -> None:
         for number, amount in enumerate(step.amounts):
-            self._amount(f"{self._path}.amounts[{number}]", amount)
+            self._read_amount(f"{self._path}.amounts[{number}]", amount)
         for number, attribute in enumerate(step.attributes):
-            self._attribute(f"{self._path}.attributes[{number}]", attribute)
+            self._read_attribute(f"{self._path}.attributes[{number}]", attribute)
 
-    def _fault(self, path: str, value: object, rule: str) -> None:
-        self._faults.append(Violation(path, str(value), rule))
+    def _add_violation(self, path: str, value: object, rule: str) -> None:
+        self._violations.append(Violation(path, str(value), rule))
 
-    def _amount(self, path: str, amount: Amount) -> None:
+    def _read_amount(self, path: str, amount: Amount) -> None:
         if amount.most is not None:
-            self._fault(f"{path}.max", amount.most, "machines are never refused for having more than a step needs")
+            self._add_violation(
+                f"{path}.max",
+                amount.most,
+                "a maximum is not supported: machines with more than a step needs are accepted",
+            )
         least = float(amount.least or 0)
         if amount.name == "amount.worker.vcpu":
             self.cpus = least or None
         elif amount.name == "amount.worker.memory":
-            self.memory = least / MIB_A_GB or None
+            self.memory = least / MIB_PER_GB or None
         elif amount.name == "amount.worker.gpu":
             self.gpus = least
         else:
-            known = "amount.worker.vcpu, amount.worker.memory and amount.worker.gpu are known"
-            self._fault(f"{path}.name", amount.name, known)
+            rule = "only amount.worker.vcpu, amount.worker.memory and amount.worker.gpu are supported"
+            self._add_violation(f"{path}.name", amount.name, rule)
 
-    def _attribute(self, path: str, attribute: Attribute) -> None:
+    def _read_attribute(self, path: str, attribute: Attribute) -> None:
         if attribute.name in ("attr.worker.os.family", "attr.worker.cpu.arch"):
-            have = "linux" if attribute.name.endswith("family") else "x86_64"
-            said = [value.lower() for value in (*attribute.any_of, *attribute.all_of)]
-            ruled_out = (attribute.any_of and have not in said) or any(v.lower() != have for v in attribute.all_of)
+            provided = "linux" if attribute.name.endswith("family") else "x86_64"
+            requested = [value.lower() for value in (*attribute.any_of, *attribute.all_of)]
+            ruled_out = (attribute.any_of and provided not in requested) or any(
+                v.lower() != provided for v in attribute.all_of
+            )
             if ruled_out:
-                self._fault(path, ", ".join(said), f"all machines are {have}")
+                self._add_violation(path, ", ".join(requested), f"all machines are {provided}")
         elif attribute.name == "attr.zone":
             values = attribute.any_of or attribute.all_of
             if len(values) != 1:
-                self._fault(path, ", ".join(values), "a step runs in one zone or in any: name one")
+                self._add_violation(
+                    path,
+                    ", ".join(values),
+                    "name exactly one zone: a step runs in one zone, or in any zone if it names none",
+                )
             else:
                 self.zone = values[0]
         elif attribute.name == "attr.machine_type" and not attribute.all_of:
             self.types = attribute.any_of
         else:
-            known = "attr.worker.os.family, attr.worker.cpu.arch, attr.zone and anyOf of attr.machine_type are known"
-            self._fault(f"{path}.name", attribute.name, known)
+            rule = (
+                "only attr.worker.os.family, attr.worker.cpu.arch, attr.zone "
+                "and anyOf of attr.machine_type are supported"
+            )
+            self._add_violation(f"{path}.name", attribute.name, rule)
--- a/kelpjunction/tickets/progress.py
+++ b/kelpjunction/tickets/progress.py
@@ -1,8 +1,10 @@
-"""How an accepted ticket stands, step by step, until its one final answer.  Pure.
+"""The progress of an accepted ticket, step by step, until its final answer.
 
-A ticket's steps wait, are sent (their job exists) and end.  Its course is one
-record; `TicketProgress.with_step_states` makes every change of it, and whoever writes it guards
-the version he read, so that any gateway may, and two never both do.
+The functions here have no side effects.  A ticket's steps wait, are sent (their
+job exists) and end.  The progress is one record, and every change of a step goes
+through `TicketProgress.with_step_states`.  A write of the record is guarded by the
+version that was read.  Any gateway may therefore write it, and two gateways never
+both apply a change to the same version.
 """
 
 from collections.abc import Mapping
@@ -24,15 +26,15 @@
     CANCELLED = "c"
 
 
-_MAY = {
+_ALLOWED_TRANSITIONS = {
     StepState.WAITING: (StepState.SENT, StepState.CANCELLED),
     StepState.SENT: (StepState.DONE, StepState.FAILED, StepState.CANCELLED),
 }
-UNFINISHED = frozenset(_MAY)
+UNFINISHED = frozenset(_ALLOWED_TRANSITIONS)
 
 
 class FinalState(Enum):
-    """A ticket's final answer."""
+    """The outcome of a ticket that has ended."""
 
     DONE = "done"
     FAILED = "failed"
@@ -40,7 +42,7 @@
 
 
 class Failure(NamedTuple):
-    """Why a ticket failed: its step, how many of the step's tasks are not done, and a plain reason."""
+    """Why a ticket failed: the step, how many of its tasks are not done, and the reason as text."""
 
     step: str
     unfinished: int
@@ -49,7 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketProgress:
-    """An unfinished ticket; `plan` is packed, or names the parts that hold it, and `salt` is in its jobs' ids."""
+    """An unfinished ticket.
+
+    `plan` is the encoded plan, or the token and count of the parts that hold it.
+    The ids of the ticket's jobs derive from `salt`.
+    """
 
     klass: str
     team: str
@@ -57,39 +63,39 @@
     states: tuple[StepState, ...]
     plan: str | list
     salt: str
-    cancelled: bool = False  # its user asked for it
-    stopping: bool = False  # nothing is sent any more
-    failure: Failure | None = None  # the first
+    cancelled: bool = False  # the user asked for it
+    stopping: bool = False  # no more steps are sent
+    failure: Failure | None = None  # the first one that occurred
 
     def with_step_states(self, steps: Mapping[int, StepState], failure: Failure | None = None) -> "TicketProgress":
-        """The one place where steps change."""
+        """Change the states of steps by index; raises `ValueError` for a transition that is not allowed."""
         states = list(self.states)
-        for place, state in steps.items():
-            if state not in _MAY.get(states[place], ()):
-                raise ValueError(f"step {place} can't go from {states[place].name} to {state.name}")
-            states[place] = state
+        for index, state in steps.items():
+            if state not in _ALLOWED_TRANSITIONS.get(states[index], ()):
+                raise ValueError(f"step {index} can't go from {states[index].name} to {state.name}")
+            states[index] = state
         return replace(self, states=tuple(states), failure=self.failure or failure)
 
     def with_submission_stopped(self, cancelled: bool = False) -> "TicketProgress":
-        """Nothing is sent from now on: steps that wait are cancelled, and those that were sent are to be stopped."""
+        """Stop sending steps: waiting steps are cancelled, and sent steps are to be stopped."""
         waiting = {i: StepState.CANCELLED for i, s in enumerate(self.states) if s is StepState.WAITING}
         return replace(self.with_step_states(waiting), stopping=True, cancelled=self.cancelled or cancelled)
 
     def with_blocked_steps_cancelled(self, plan: Plan) -> "TicketProgress":
-        """Steps that wait for one that will never be done are cancelled."""
+        """Cancel the waiting steps that depend on a failed or cancelled step."""
         states = list(self.states)
-        lost = {StepState.FAILED, StepState.CANCELLED}
-        for place, job in enumerate(plan.jobs):
-            if states[place] is StepState.WAITING and any(states[i] in lost for i in job.depends_on):
-                states[place] = StepState.CANCELLED
+        not_done = {StepState.FAILED, StepState.CANCELLED}
+        for index, job in enumerate(plan.jobs):
+            if states[index] is StepState.WAITING and any(states[i] in not_done for i in job.depends_on):
+                states[index] = StepState.CANCELLED
         return self.with_step_states({i: s for i, s in enumerate(states) if s is not self.states[i]})
 
     def ready_steps(self, plan: Plan) -> list[int]:
-        """The steps to send now."""
+        """The indexes of the steps to send now: those waiting whose dependencies are all done."""
         return [
-            place
-            for place, job in enumerate(plan.jobs)
-            if self.states[place] is StepState.WAITING and all(self.states[i] is StepState.DONE for i in job.depends_on)
+            index
+            for index, job in enumerate(plan.jobs)
+            if self.states[index] is StepState.WAITING and all(self.states[i] is StepState.DONE for i in job.depends_on)
         ]
 
     @property
@@ -98,11 +104,11 @@
 
     @property
     def final_state(self) -> FinalState | None:
-        """The final answer, once no step waits or is sent."""
+        """The ticket's outcome; None while a step is waiting or sent."""
         if UNFINISHED.intersection(self.states):
             return None
         if set(self.states) == {StepState.DONE}:
-            return FinalState.DONE  # also if its user asked to cancel it after its last job had ended
+            return FinalState.DONE  # also if the user cancelled it after its last job had ended
         if self.cancelled:
             return FinalState.CANCELLED
         return FinalState.FAILED if self.failure else FinalState.DONE
@@ -127,7 +133,7 @@
 
 
 class FinalRecord(NamedTuple):
-    """A ticket's final record: its answer, when it ended, until when it is remembered."""
+    """A ticket's final record: its outcome, when it ended, and until when it is remembered."""
 
     final_state: FinalState
     ended_at: datetime
--- a/kelpjunction/tickets/records.py
+++ b/kelpjunction/tickets/records.py
@@ -1,16 +1,18 @@
-"""The tickets' records in the state service, and what writing them guards.
+"""Reads and writes the tickets' records in the state service.
 
     t/head/<id>          the latest run's number and class, and a digest of its content
-    t/l/ticket/<run>     an unfinished run's course; its plan, if that is short
-    t/end/<run>          a run's one final answer
-    t/stage/<token>      owner of a long plan's parts: staged, taken by a run, or dead
+    t/l/ticket/<run>     an unfinished run's progress, with its plan if that is short
+    t/l/full             present while the limit on remembered runs is reached
+    t/end/<run>          a run's only final answer
+    t/stage/<token>      owner record of a long plan's parts: staged, taken by a run, or dead
     t/part/<token>/<n>   the parts
 
-A run is accepted by one transaction that moves the head and writes the course.
-A long plan is staged before, each part guarded by its owner's version; the
-acceptance takes the owner, guarded by the same version.  Parts of a staged
-owner mean nothing to anybody, and go once it was declared dead, which moves
-the version: no record of a ticket that was not accepted can count or stay.
+A run is accepted by one transaction that updates the head and writes the progress.
+A long plan is staged before that, and each part's write is guarded by the version
+of the owner record.  The acceptance updates the owner record, guarded by the same
+version.  No gateway reads parts whose owner is only staged.  They are deleted
+after the owner was marked dead, which changes its version: the records of a
+ticket that was not accepted can neither be used nor stay.
 """
 
 import base64
@@ -35,7 +37,7 @@
 
 log = logging.getLogger("tickets")
 
-PREFIX = "t/l/"  # what every gateway mirrors
+PREFIX = "t/l/"  # of the keys that every gateway mirrors
 TICKET_PREFIX = PREFIX + "ticket/"
 FULL_KEY = PREFIX + "full"
 HEAD_PREFIX = "t/head/"
@@ -43,7 +45,7 @@
 STAGE_PREFIX = "t/stage/"
 PART_PREFIX = "t/part/"
 PLAN_CACHE_SIZE = 2_000
-MAX_SUBMISSION_BYTES = 32 * 1024  # of a transaction, at most, for the jobs that it submits
+MAX_SUBMISSION_BYTES = 32 * 1024  # of job records in one transaction
 
 
 def part_key(token: str, number: int) -> str:
@@ -51,13 +53,13 @@
 
 
 def job_ref_seed(run: str, salt: str) -> str:
-    """What the ids of a run's jobs are made of."""
+    """The text from which the ids of a run's jobs are derived."""
     return f"{run}/{salt}"
 
 
-def encode_plan(made: Plan) -> str:
-    """A plan as text."""
-    return base64.b64encode(zlib.compress(orjson.dumps(made.record()))).decode()
+def encode_plan(ticket_plan: Plan) -> str:
+    """A plan as compressed text; `decode_plan` reads it back."""
+    return base64.b64encode(zlib.compress(orjson.dumps(ticket_plan.record()))).decode()
 
 
 def decode_plan(text: str) -> Plan:
@@ -77,7 +79,7 @@
 
 
 class TicketRecords:
-    """This gateway's reads and writes of tickets; it is told of changes by its mirrors."""
+    """Reads and writes tickets for this gateway, and tracks unfinished runs through its mirror."""
 
     def __init__(self, store: StoreClient, tickets: Mirror, jobs: Mirror, clock: Clock) -> None:
         self._store = store
@@ -86,9 +88,9 @@
         self._clock = clock
         self._plans: OrderedDict[str, Plan] = OrderedDict()
         self.unfinished_runs: dict[str, UnfinishedRun] = {}
-        tickets.listen(TICKET_PREFIX, self._changed)
+        tickets.listen(TICKET_PREFIX, self._ticket_changed)
 
-    def _changed(self, key: str, value: dict | None, version: int) -> None:
+    def _ticket_changed(self, key: str, value: dict | None, version: int) -> None:
         run = key.removeprefix(TICKET_PREFIX)
         if value is None:
             self.unfinished_runs.pop(run, None)
@@ -96,82 +98,84 @@
         else:
             self.unfinished_runs[run] = UnfinishedRun(run, version, TicketProgress.parse(value))
 
-    def plan(self, live: UnfinishedRun) -> Plan:
-        """What the run's steps are; raises `StoreUnavailable`."""
-        if (known := self._plans.get(live.run)) is not None:
-            self._plans.move_to_end(live.run)
-            return known
-        text = live.progress.plan
+    def plan(self, unfinished: UnfinishedRun) -> Plan:
+        """The plan of a run; raises `StoreUnavailable`."""
+        if (cached := self._plans.get(unfinished.run)) is not None:
+            self._plans.move_to_end(unfinished.run)
+            return cached
+        text = unfinished.progress.plan
         if not isinstance(text, str):
             token, count = text
             parts = [self._store.get(part_key(token, number)) for number in range(count)]
             if None in parts:
-                # They go only after the run has ended.
-                raise StoreUnavailable(f"{live.run} ended meanwhile")
+                # Parts are deleted only after the run has ended.
+                raise StoreUnavailable(f"{unfinished.run} ended while its plan was being read")
             text = "".join(part.value for part in parts)
-        return self.keep_plan(live.run, decode_plan(text))
+        return self.keep_plan(unfinished.run, decode_plan(text))
 
-    def keep_plan(self, run: str, made: Plan) -> Plan:
-        self._plans[run] = made
+    def keep_plan(self, run: str, ticket_plan: Plan) -> Plan:
+        self._plans[run] = ticket_plan
         if len(self._plans) > PLAN_CACHE_SIZE:
             self._plans.popitem(last=False)
-        return made
+        return ticket_plan
 
     # -- writing ------------------------------------------------------------------
 
     def job_size(self, spec: JobSpec) -> int:
-        """How many bytes a step's job takes in the state service."""
+        """The size in bytes of a step's job record in the state service."""
         return len(orjson.dumps(_job_record(spec, self._clock.utc())))
 
     @property
     def max_jobs_per_transaction(self) -> int:
-        """How many jobs one transaction may submit or cancel beside what it changes of a ticket."""
+        """How many jobs one transaction may submit or cancel in addition to its changes of a ticket's records."""
         return self._store.limits.txn_ops - 3
 
-    def add_job_submissions(self, txn: Transaction, made: Plan, places: Iterable[int], now: datetime) -> list[int]:
-        """Add these steps' jobs to a transaction as far as they fit; which were added.
+    def add_job_submissions(
+        self, txn: Transaction, ticket_plan: Plan, indexes: Iterable[int], now: datetime
+    ) -> list[int]:
+        """Add these steps' jobs to a transaction as far as they fit; returns the indexes of those added.
 
-        As `intake` submits a job: only if it neither lives nor has ended.
+        As in `intake`, the guards let a job be submitted only if no job of its id is live or has ended.
         """
         sent: list[int] = []
         size = 0
-        for place in list(places)[: self.max_jobs_per_transaction]:
-            spec = made.jobs[place].spec
+        for index in list(indexes)[: self.max_jobs_per_transaction]:
+            spec = ticket_plan.jobs[index].spec
             record = _job_record(spec, now)
             size += len(orjson.dumps(record))
             if sent and size > MAX_SUBMISSION_BYTES:
                 break
             key = JOB_PREFIX + spec.ref
             txn.guard(key, 0).guard(END_PREFIX + spec.ref, 0).put(key, record)
-            sent.append(place)
+            sent.append(index)
         return sent
 
     def add_job_cancellation(self, txn: Transaction, job: Job) -> None:
-        """Cancel a step's job, as its user would."""
+        """Add the cancellation of a step's job, as its user would cancel it."""
         key = JOB_PREFIX + job.spec.ref
         txn.guard(key, job.version).put(key, self._jobs.get(key).value | {"cancelled": True})
 
     def add_progress(
-        self, txn: Transaction, live: UnfinishedRun, progress: TicketProgress, remember: timedelta
+        self, txn: Transaction, unfinished: UnfinishedRun, progress: TicketProgress, retention: timedelta
     ) -> None:
-        """Add a run's new course, or its final record if nothing of it is left to do."""
-        key = TICKET_PREFIX + live.run
-        txn.guard(key, live.version)
+        """Add a run's new progress, or its final record, kept for `retention`, if no step is left."""
+        key = TICKET_PREFIX + unfinished.run
+        txn.guard(key, unfinished.version)
         if progress.final_state is None:
             txn.put(key, progress.record())
             return
         now = self._clock.utc()
-        end = FinalRecord(progress.final_state, now, now + remember, progress.states, progress.failure)
-        txn.delete(key).put(ENDED_PREFIX + live.run, end.record())
+        end = FinalRecord(progress.final_state, now, now + retention, progress.states, progress.failure)
+        txn.delete(key).put(ENDED_PREFIX + unfinished.run, end.record())
         if not isinstance(progress.plan, str):
             token, parts = progress.plan
             txn.put(STAGE_PREFIX + token, {"dead": True, "parts": parts})
 
     def commit(self, txns: Iterable[Transaction], purpose: Purpose) -> bool:
-        """Apply these, merged as far as the limits go; False at the first that was not applied.
+        """Commit transactions, merged as far as the limits allow; False at the first that was not applied.
 
-        What the failed one was guarded by is read again.  If it is applied
-        late, it is so before anything else is written of the same tickets.
+        The keys that guarded the failed transaction are read again.  If that
+        transaction is still applied late, this happens before any other write to the same tickets.
         """
         for txn in pack_transactions(txns, self._store.limits):
             outcome = self._store.commit(txn.guards, txn.puts, txn.deletes, purpose=purpose)
@@ -183,7 +187,7 @@
         return True
 
     def on_committed(self, txn: Transaction, revision: int) -> None:
-        """Take in a transaction of this gateway's that was applied."""
+        """Log the final answers in a transaction of this gateway that was applied, and update the mirrors."""
         for key, value in txn.puts.items():
             if key.startswith(ENDED_PREFIX):
                 log.info("ticket %s: %s", key.removeprefix(ENDED_PREFIX), value["end"])
--- a/kelpjunction/tickets/users.py
+++ b/kelpjunction/tickets/users.py
@@ -16,13 +16,13 @@
 
 TICKETS_PATH = "/api/tickets"
 CANCEL_END = "/cancel"
-MAX_LISTED_VIOLATIONS = 20  # that a refusal lists
+MAX_LISTED_VIOLATIONS = 20  # in one rejection
 
 _ID = r"[A-Za-z0-9][A-Za-z0-9_-]{0,79}"
 _RUN = re.compile(rf"({_ID})(?:\.([1-9][0-9]{{0,8}}))?\Z")
 _NAME = {"type": "string", "minLength": 1, "maxLength": 100}
 _AMOUNT = {"type": "number", "minimum": 0, "maximum": 1e9}
-_check = fastjsonschema.compile(
+_check_submission = fastjsonschema.compile(
     {
         "type": "object",
         "required": ["class", "team", "template"],
@@ -46,7 +46,7 @@
 
 
 class Submission(NamedTuple):
-    """A ticket as its client sends it: `template` is an object, or text in YAML or JSON."""
+    """A ticket as its client sent it; `template` is an object, or text in YAML or JSON."""
 
     ticket: str
     template: dict | str
@@ -55,23 +55,23 @@
 
 
 def parse_submission(body: bytes) -> Submission:
-    """A submission; raises `MalformedMessage` naming the first wrong field."""
+    """Parse a submission; raises `MalformedMessage`, which names the first wrong field."""
     fields = parse_object(body)
     try:
-        _check(fields)
+        _check_submission(fields)
     except fastjsonschema.JsonSchemaValueException as error:
         raise MalformedMessage(error.message.removeprefix("data.")) from error
-    order = SubmissionOptions(
+    options = SubmissionOptions(
         team=fields["team"], klass=fields["class"], priority=Priority[fields["priority"].upper()],
         image=fields["image"], image_gb=float(fields["image_gb"]), estimate=seconds(fields["estimate_s"]),
         cpus=float(fields["cpus"]), memory=float(fields["memory_gb"]), spot=fields["spot"],
     )  # fmt: skip
     ticket = fields.get("id") or plan.ticket_id(fields)
-    return Submission(ticket, fields["template"], fields["parameters"], order)
+    return Submission(ticket, fields["template"], fields["parameters"], options)
 
 
 def parse_id(text: str) -> tuple[str, int | None]:
-    """A ticket's id and the number of its run, None for the latest; raises `MalformedMessage`."""
+    """Parse a ticket's id and its run number, None for the latest run; raises `MalformedMessage`."""
     match = _RUN.match(text)
     if match is None:
         raise MalformedMessage("a ticket's id is letters, digits, - and _, with .N for its run N")
@@ -79,47 +79,47 @@
 
 
 def run_id(ticket: str, number: int) -> str:
-    """The id of one run of a ticket: what has one final answer."""
+    """The id of one run of a ticket; each run has one final answer."""
     return f"{ticket}.{number}"
 
 
-def rejection_body(faults: list[Violation]) -> bytes:
-    """The body of a refusal that lists what is wrong."""
-    told = [
-        {"path": f.path[:200], "rule": f.rule[:300], "value": f.value[:100]} for f in faults[:MAX_LISTED_VIOLATIONS]
+def rejection_body(violations: list[Violation]) -> bytes:
+    """The body of a rejection: the first violation as text, and a list of the violations."""
+    listed = [
+        {"path": f.path[:200], "rule": f.rule[:300], "value": f.value[:100]} for f in violations[:MAX_LISTED_VIOLATIONS]
     ]
     return orjson.dumps(
-        {"error": str(TicketRejected(faults[:1]))[:500], "faults": told, "more": len(faults) - len(told)}
+        {"error": str(TicketRejected(violations[:1]))[:500], "faults": listed, "more": len(violations) - len(listed)}
     )
 
 
-def _failure(failure: Failure | None) -> dict:
+def _failure_fields(failure: Failure | None) -> dict:
     return {"failure": failure._asdict()} if failure else {}
 
 
-def live_answer(run: str, progress: TicketProgress, made: Plan, counts: dict[str, tuple[int, int]]) -> bytes:
-    """How an unfinished ticket stands; `counts` has the tasks done and running of each job that is known."""
+def live_answer(run: str, progress: TicketProgress, ticket_plan: Plan, counts: dict[str, tuple[int, int]]) -> bytes:
+    """The body for an unfinished ticket; `counts` has (done, running) tasks by job id, for live jobs only."""
     state = "stopping" if progress.stopping else "running" if any(n for _, n in counts.values()) else "pending"
     if state == "pending" and StepState.DONE in progress.states:
         state = "running"
     steps = []
-    for step, now in zip(made.jobs, progress.states, strict=True):
-        done, running = counts.get(step.spec.ref, (step.spec.tasks if now is StepState.DONE else 0, 0))
-        fields: dict[str, Any] = {"step": step.name, "state": now.name.lower()}
-        if now is not StepState.WAITING:
+    for step, step_state in zip(ticket_plan.jobs, progress.states, strict=True):
+        done, running = counts.get(step.spec.ref, (step.spec.tasks if step_state is StepState.DONE else 0, 0))
+        fields: dict[str, Any] = {"step": step.name, "state": step_state.name.lower()}
+        if step_state is not StepState.WAITING:
             fields |= {"job": step.spec.ref, "done": done, "running": running}
         steps.append(fields | {"tasks": step.spec.tasks})
-    return orjson.dumps({"ticket": run, "state": state, "steps": steps} | _failure(progress.failure))
+    return orjson.dumps({"ticket": run, "state": state, "steps": steps} | _failure_fields(progress.failure))
 
 
 def final_answer(run: str, end: FinalRecord) -> bytes:
-    """A ticket's one final answer."""
+    """The body for a ticket that has ended."""
     counts = {s.name.lower(): n for s in StepState if s not in UNFINISHED and (n := end.states.count(s))}
-    return orjson.dumps({"ticket": run, "state": end.final_state.value, "steps": counts} | _failure(end.failure))
+    return orjson.dumps({"ticket": run, "state": end.final_state.value, "steps": counts} | _failure_fields(end.failure))
 
 
 def with_content_mismatch(answer: UserResponse) -> UserResponse:
-    """The same answer, which says that the ticket of this id came with another template or parameters."""
+    """The same answer, marked: this id belongs to a ticket with another template or other parameters."""
     return answer._replace(body=orjson.dumps(orjson.loads(answer.body) | {"same_content": False}))
 
 
@@ -128,5 +128,5 @@
 
 
 def is_final(answer: dict) -> bool:
-    """Whether an answer about a ticket will never change."""
+    """Whether an answer about a ticket is final."""
     return answer.get("state") in ("done", "failed", "cancelled")
--- a/tests/test_ticket_gateway.py
+++ b/tests/test_ticket_gateway.py
@@ -224,7 +224,7 @@
     [
         ({"team": "nobody"}, 422, "unknown team nobody"),
         ({"cpus": 900.0}, 422, "a task fits no allowed machine type"),
-        ({"class": "nope"}, 422, "there are once"),
+        ({"class": "nope"}, 422, "the known classes are once"),
         ({"template": "steps: ["}, 400, "neither JSON nor YAML"),
         ({"id": "a/b"}, 400, "id"),
         ({"parameters": {"F": 1}}, 400, "parameters"),
--- a/tests/test_ticket_planning.py
+++ b/tests/test_ticket_planning.py
@@ -14,7 +14,7 @@
 from kelpjunction.cli import main
 from kelpjunction.tickets import job_template
 from kelpjunction.tickets.plan import (
-    MOST_TASKS,
+    MAX_TASKS,
     Amount,
     Step,
     SubmissionOptions,
@@ -151,7 +151,7 @@
         "steps[1].hostRequirements.attributes[2].name",
         "steps[1].parameterSpace",
     ]
-    assert found[-1].endswith(f"a step has 1 to {MOST_TASKS} tasks (it is 1000000000)")
+    assert found[-1].endswith(f"a step has 1 to {MAX_TASKS} tasks (it is 1000000000)")
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
         (b"a: [", "neither JSON nor YAML"),
         (b"\xff\xfe\x00", "neither JSON nor YAML"),
         (b"[" * 5000, "nested at most 32 deep"),
-        (b"a: &x [1]\nb: *x\n", "aliases are not taken"),
+        (b"a: &x [1]\nb: *x\n", "YAML aliases are not supported"),
         (b"x" * 70_000, "at most 65536 bytes"),
     ],
 )
