--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,7 @@
-"""The fair-share ledger: arithmetic, the chain of entries, and failures that must neither lose nor double usage."""
+"""The fair-share ledger: its arithmetic, the chain of its entries, and faults.
+
+No fault may lose usage or charge it twice.
+"""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -40,19 +43,19 @@
 
 
 def operators(**changes) -> OperatorSettings:
-    usual = load_operator_settings(None)
-    return replace(usual, ledger=replace(usual.ledger, enabled=True, **changes))
+    defaults = load_operator_settings(None)
+    return replace(defaults, ledger=replace(defaults.ledger, enabled=True, **changes))
 
 
 POLICY = Policy.of(operators().ledger, TEAMS)
-settings.register_profile("same", deadline=None, derandomize=True, max_examples=60)  # the same verdict every run
+settings.register_profile("same", deadline=None, derandomize=True, max_examples=60)  # the same examples in every run
 settings.load_profile("same")
 
 # -- arithmetic ---------------------------------------------------------------------
 
 
 @given(st.integers(0, 2**63), st.integers(0, 50 * WEEK), st.integers(60_000, 13 * WEEK))
-def test_fading_halves_and_is_monotone(amount, passed, half_life):
+def test_decay_halves_and_is_monotone(amount, passed, half_life):
     left = decay(amount, passed, half_life)
     true = amount * 2.0 ** (-passed / half_life)
     assert true * (1 - 1e-9) - 1 <= left <= true * (1 + 1e-9)
@@ -62,42 +65,42 @@
 
 
 @pytest.mark.parametrize("form", FACTOR_FUNCTIONS)
-@given(faded=st.integers(0, 2**62), more=st.integers(0, 2**40), share=st.integers(1, 10**7))
-def test_the_factor_falls_with_usage_between_the_floor_and_one(form, faded, more, share):
+@given(decayed=st.integers(0, 2**62), more=st.integers(0, 2**40), share=st.integers(1, 10**7))
+def test_factor_falls_with_usage_between_floor_and_one(form, decayed, more, share):
     floor = FIXED_POINT_ONE // 20
-    here = factor(form, faded, share, WEEK, floor)
-    assert floor <= factor(form, faded + more, share, WEEK, floor) <= here <= FIXED_POINT_ONE
+    here = factor(form, decayed, share, WEEK, floor)
+    assert floor <= factor(form, decayed + more, share, WEEK, floor) <= here <= FIXED_POINT_ONE
     assert factor(form, 0, share, WEEK, floor) == FIXED_POINT_ONE
 
 
-def test_the_forms_at_a_share_used_in_full():
+def test_factor_functions_at_full_use_of_the_share():
     full = steady_state_usage(16_000, WEEK)
     assert [round(form(full, full) / FIXED_POINT_ONE, 6) for form in FACTOR_FUNCTIONS.values()] == [0.5, 0.5, 0.75]
 
 
-def test_a_team_that_was_away_for_a_month_stands_where_a_new_one_stands():
+def test_factor_of_idle_team_returns_to_one():
     used = apply_charge(0, 0, resource_time(16.0, 0.0, 0.0, DAY), 16_000, POLICY)
     month = apply_charge(used.decayed_usage, 30 * DAY, ResourceTime(), 16_000, POLICY)
     year = apply_charge(used.decayed_usage, 365 * DAY, ResourceTime(), 16_000, POLICY)
     new = apply_charge(0, DAY, ResourceTime(), 16_000, POLICY)
     assert used.factor < month.factor < new.factor == FIXED_POINT_ONE
-    assert year.factor == FIXED_POINT_ONE, "no banking: it only comes back to one"
+    assert year.factor == FIXED_POINT_ONE, "unused share is not saved up: the factor returns to one and no further"
 
 
-def test_a_heavy_user_yields_gradually_and_is_not_starved():
-    factors, faded = [], 0
+def test_factor_of_heavy_user_falls_gradually_to_a_steady_value():
+    factors, decayed = [], 0
     for _ in range(60):
-        row = apply_charge(faded, DAY, resource_time(96.0, 0.0, 0.0, DAY), 8_000, POLICY)
+        row = apply_charge(decayed, DAY, resource_time(96.0, 0.0, 0.0, DAY), 8_000, POLICY)
         factors.append(row.factor / FIXED_POINT_ONE)
-        faded = row.decayed_usage
+        decayed = row.decayed_usage
     assert factors == sorted(factors, reverse=True)
     assert 0.4 < factors[0] < 0.6
-    assert factors[-1] == pytest.approx(1 / 13, rel=0.05), "twelve times its share for long"
+    assert factors[-1] == pytest.approx(1 / 13, rel=0.05), "steady state at twelve times the share"
 
 
 # -- entries, their chain and their replay --------------------------------------------
 
-stretches = st.lists(
+usage_periods = st.lists(
     st.tuples(
         st.integers(1, DAY),
         st.dictionaries(st.sampled_from(["red", "blue", "guest"]),
@@ -106,8 +109,11 @@
 )  # fmt: skip
 
 
-def ledger_of(steps) -> LedgerContents:
-    """A ledger of these stretches: (ms passed, what each team's jobs held that ended, and have open)."""
+def build_ledger(steps) -> LedgerContents:
+    """Build a ledger with one closing per period.
+
+    A period is the milliseconds since the closing before, and by team the usage of ended jobs and of open ones.
+    """
     entries = [settings_entry(1, "", 0, POLICY, "n term 1")]
     page = BalancePage(0, 0, {})
     for passed, now in steps:
@@ -120,22 +126,22 @@
     return LedgerContents(LedgerSnapshot(), [orjson.loads(orjson.dumps(e)) for e in entries], head, {0: page})
 
 
-@given(stretches)
-def test_what_is_charged_is_what_ended_and_what_is_open(steps):
-    """Conservation: whatever the stretches are, charges add up to what ended plus what is open at the end."""
-    books = ledger_of(steps)
-    sums = total(books.entries)
+@given(usage_periods)
+def test_charges_add_up_to_ended_and_open_usage(steps):
+    """Conservation: for any periods, the charges add up to the ended usage plus the usage open at the end."""
+    ledger = build_ledger(steps)
+    sums = total(ledger.entries)
     for team in ("red", "blue", "guest"):
         ended = sum(now[team][0] for _, now in steps if team in now)
         open_ = steps[-1][1].get(team, (0, 0))[1]
         assert sums.get(team, ResourceTime()).cpus == ended + open_
-    assert audit(books).fault is None
+    assert audit(ledger).fault is None
 
 
-@given(stretches, st.data())
+@given(usage_periods, st.data())
 def test_an_entry_that_is_missing_repeated_or_changed_is_named(steps, data):
-    books = ledger_of(steps)
-    entries = books.entries
+    ledger = build_ledger(steps)
+    entries = ledger.entries
     at = data.draw(st.integers(0, len(entries) - 1))
     kind = data.draw(st.sampled_from(["missing", "repeated", "changed", "swapped"]))
     if kind == "missing":
@@ -146,17 +152,17 @@
         entries = [*entries[:at], entries[at] | {"t": entries[at]["t"] + 1}, *entries[at + 1 :]]
     else:
         entries = [*entries[:at], entries[at] | {"hash": "0" * 40}, *entries[at + 1 :]]
-    fault = audit(books._replace(entries=entries)).fault
+    fault = audit(ledger._replace(entries=entries)).fault
     assert fault is not None
     assert fault.number == at + 1 or (kind == "missing" and at == len(entries))
 
 
 def test_a_forged_entry_with_a_fitting_hash_fails_the_replay():
-    """Whoever rewrites the whole chain still cannot make a balance follow from other charges."""
-    books = ledger_of([(DAY, {"red": (10**9, 0)}), (DAY, {"red": (0, 10**8)})])
-    first, second, _ = books.entries
+    """A rewritten chain has valid hashes, but the replay computes other balances from its charges."""
+    ledger = build_ledger([(DAY, {"red": (10**9, 0)}), (DAY, {"red": (0, 10**8)})])
+    first, second, _ = ledger.entries
     row = list(second["teams"]["red"])
-    row[4] -= 1  # a little less usage than the charges lead to
+    row[4] -= 1  # one unit less usage than the charges give
     forged = second | {"teams": {"red": row}}
     page = BalancePage(forged["t"], forged["r"], {})
     rows = {"red": TeamRow(ResourceTime(*row[:3]), *row[3:])}
@@ -167,23 +173,23 @@
     assert "team red" in fault.why
 
 
-def test_settings_that_change_while_it_runs_are_entries_of_their_own():
+def test_changed_settings_are_a_separate_entry():
     other = Policy.of(operators(half_life=timedelta(days=1), form="linear").ledger, TEAMS)
-    books = ledger_of([(DAY, {"red": (10**9, 0)})])
-    last = books.entries[-1]
+    ledger = build_ledger([(DAY, {"red": (10**9, 0)})])
+    last = ledger.entries[-1]
     changed = settings_entry(3, last["hash"], last["t"], other, "m term 2")
-    page, rows = close(books.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
+    page, rows = close(ledger.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
     closing = closing_entry(4, changed["hash"], 0, last["t"], page, rows, "m term 2")
-    done = replay(LedgerSnapshot(), [*books.entries, changed, closing])
+    done = replay(LedgerSnapshot(), [*ledger.entries, changed, closing])
     assert done.fault is None
     assert done.base.policy == other
 
 
-# -- kept through any crash --------------------------------------------------------------
+# -- crashes and faults -------------------------------------------------------------------
 
 
-def ledger_world(**changes) -> tuple[World, UsageObserver]:
-    """A world that keeps a ledger, with the rig's own account beside it."""
+def world_with_ledger(**changes) -> tuple[World, UsageObserver]:
+    """Start a world that keeps a ledger, with an independent usage observer to compare it with."""
     world = World(machines=6, operators=operators(period=timedelta(seconds=2), **changes))
     account = UsageObserver(world.store, world.clock)
     world.run(6)
@@ -196,20 +202,23 @@
 
 
 def assert_ledger_matches_account(world: World, account: UsageObserver) -> LedgerContents:
-    """Let everything end; the ledger must say what the account says, to the millisecond, and hold its audit."""
+    """Wait until all jobs have ended, then check the ledger.
+
+    Its sums must equal the observer's account to the millisecond, and its audit must pass.
+    """
     world.filter = lambda source, target, path: None
     assert world.run(
         150, lambda: account.open_row_count() == 0 and not any(k.startswith("l/job/") for k in world.store.data)
     )
     world.run(15)
-    books = reader.read(next(n.store for n in world.nodes.values() if n is not None))
-    sums = total(books.entries)
+    ledger = reader.read(next(n.store for n in world.nodes.values() if n is not None))
+    sums = total(ledger.entries)
     own = account.by_team()
-    assert own, "something must have run"
+    assert own, "no usage was observed, so the comparison would prove nothing"
     assert sums == own
-    assert audit(books).fault is None
+    assert audit(ledger).fault is None
     assert world.broken == []
-    return books
+    return ledger
 
 
 def submit(world: World, ref: str = "j-1", tasks: int = 5, **fields) -> None:
@@ -218,7 +227,7 @@
 
 
 def test_services_arrays_and_gangs_are_charged_until_they_are_settled():
-    world, account = ledger_world()
+    world, account = world_with_ledger()
     submit(world, "j-1", 70)
     submit(world, "j-2", 3, shape="ensemble", crew="blue")
     submit(world, "j-3", 2, shape="service", crew="blue")
@@ -228,31 +237,31 @@
 
 
 @pytest.mark.parametrize("fate", ["lost", "answer lost"])
-def test_leader_is_killed_after_a_closing_of_unknown_outcome(fate):
-    """Applied or not: the next leader reads the head and charges what is missing, once."""
-    world, account = ledger_world()
+def test_leader_killed_after_closing_of_unknown_outcome(fate):
+    """Whether the closing was applied or not, the next leader reads the head and charges missing usage exactly once."""
+    world, account = world_with_ledger()
     submit(world)
     leader = world.leader_name()
-    struck = []
+    failed_commits = []
 
-    def strike(source: str, target: str, path: str) -> str | None:
+    def fail_commit(source: str, target: str, path: str) -> str | None:
         node = world.nodes[source] if source == leader else None
         if node is not None and path == "/commit" and closing[0]:
-            struck.append(path)
+            failed_commits.append(path)
             return fate
         return None
 
     closing = [False]
     step = world.nodes[leader].ledger_keeper.run_once
 
-    def noticed() -> None:
+    def flagged_run_once() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    world.nodes[leader].ledger_keeper.run_once = noticed
-    world.filter = strike
-    assert world.run(8, lambda: struck != [])
+    world.nodes[leader].ledger_keeper.run_once = flagged_run_once
+    world.filter = fail_commit
+    assert world.run(8, lambda: failed_commits != [])
     world.kill_node(leader)
     world.run(6)
     assert world.leader_name() not in (None, leader)
@@ -260,20 +269,24 @@
     assert_ledger_matches_account(world, account)
 
 
-def test_a_closing_that_was_held_back_is_applied_late_or_never():
-    """It is applied before the next one, which then fails by the head's version, or cannot be applied after it."""
-    world, account = ledger_world()
+def test_delayed_closing_is_applied_late_or_never():
+    """A delayed closing races with the next one.
+
+    If the delayed one is applied first, the next one fails because the head's version has changed.  If the next one
+    is applied first, the delayed one fails.
+    """
+    world, account = world_with_ledger()
     submit(world, run_s=30.0)
     leader = world.leader()
     closing = [False]
     step = leader.ledger_keeper.run_once
 
-    def noticed() -> None:
+    def flagged_run_once() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    leader.ledger_keeper.run_once = noticed
+    leader.ledger_keeper.run_once = flagged_run_once
     world.late_request_delay_s = (0.05, 6.0)
     world.filter = lambda source, target, path: "held" if path == "/commit" and closing[0] else None
     world.run(25)
@@ -283,19 +296,22 @@
 
 
 def test_leader_term_ending_during_closing_writes_nothing():
-    """As rounds did once (inc-7d2c): what was begun under a reign goes on with it, and fails by its guards."""
-    world, account = ledger_world()
+    """The leader term ends in the middle of a closing, which goes on under that term and fails by its guards.
+
+    Scheduling rounds once went on like this after their term had ended (inc-7d2c).
+    """
+    world, account = world_with_ledger()
     submit(world, run_s=20.0)
     leader = world.leader()
     ended = leader.ledger_keeper._read_ended
 
-    def superseded() -> dict:
+    def lose_leadership() -> dict:
         found = ended()
         leader.leadership.run_once = lambda: None
         leader.ledger_keeper.end()
         return found
 
-    leader.ledger_keeper._read_ended = superseded
+    leader.ledger_keeper._read_ended = lose_leadership
     before = [e["n"] for e in entries(world)]
     world.run(3)
     leader.ledger_keeper._read_ended = ended
@@ -309,8 +325,8 @@
     assert_ledger_matches_account(world, account)
 
 
-def test_superseded_leader_that_stood_still_closes_nothing():
-    world, account = ledger_world()
+def test_frozen_leader_that_was_superseded_writes_no_entry():
+    world, account = world_with_ledger()
     submit(world, run_s=25.0)
     old = world.leader_name()
     world.freeze(old, 8)
@@ -318,21 +334,21 @@
     world.run(5)
     owners = [e["by"].split()[0] for e in entries(world)]
     assert len(set(owners)) == 2
-    assert owners == sorted(owners, key=lambda o: o != old), "the old one wrote nothing after the new one"
+    assert owners == sorted(owners, key=lambda o: o != old), "the old leader wrote an entry after the new one"
     assert_ledger_matches_account(world, account)
 
 
 def test_all_nodes_dead_while_tasks_run_on():
-    world, account = ledger_world()
+    world, account = world_with_ledger()
     submit(world, tasks=8, run_s=6.0)
     world.fault("kill", "all", 9)
     world.run(12)
     assert_ledger_matches_account(world, account)
 
 
-def test_a_task_placed_and_settled_between_two_closings_with_a_takeover_between():
-    """The nodes that saw it are all gone: its final record tells the next leader, by its revision."""
-    world, account = ledger_world(half_life=timedelta(minutes=5))
+def test_task_placed_and_settled_between_closings_across_a_takeover():
+    """All nodes that saw the task are gone: the next leader finds its final record by the record's revision."""
+    world, account = world_with_ledger(half_life=timedelta(minutes=5))
     for node in world.nodes.values():
         node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 1, run_s=2.0)
@@ -341,12 +357,12 @@
     world.fault("kill", "all", 1)
     world.run(10)
     assert len(entries(world)) > before
-    books = assert_ledger_matches_account(world, account)
-    assert total(books.entries)["red"].cpus > 0
+    ledger = assert_ledger_matches_account(world, account)
+    assert total(ledger.entries)["red"].cpus > 0
 
 
 def test_ledger_rereads_store_that_lost_its_change_history():
-    world, account = ledger_world()
+    world, account = world_with_ledger()
     for node in world.nodes.values():
         node.ledger_keeper.run_once = lambda: None
     submit(world, "j-1", 3, run_s=2.0)
@@ -357,8 +373,8 @@
     assert_ledger_matches_account(world, account)
 
 
-def test_block_handed_over_while_tasks_run_and_an_outage_of_the_state_service():
-    world, account = ledger_world()
+def test_block_handover_and_store_outage_while_tasks_run():
+    world, account = world_with_ledger()
     submit(world, tasks=8, run_s=20.0)
     holder = next(n for n in world.node_names if n != world.leader_name())
     world.kill_node(holder)
@@ -369,8 +385,8 @@
     assert_ledger_matches_account(world, account)
 
 
-def test_a_leader_whose_time_of_day_is_behind_the_last_entry_closes_later():
-    world, account = ledger_world()
+def test_leader_with_wall_clock_behind_last_entry_closes_later():
+    world, account = world_with_ledger()
     submit(world, run_s=25.0)
     assert world.run(10, lambda: len(entries(world)) >= 3)
     last = entries(world)[-1]["t"]
@@ -392,7 +408,7 @@
 
 
 class LaggingClock:
-    """A time of day ten seconds behind the others'."""
+    """A clock whose wall time is ten seconds behind that of the other clocks."""
 
     def __init__(self, clock) -> None:
         self._clock = clock
@@ -404,8 +420,8 @@
         return self._clock.utc() - timedelta(seconds=10)
 
 
-def test_a_team_that_is_removed_and_comes_back_keeps_its_account():
-    world, account = ledger_world()
+def test_team_removed_and_added_again_keeps_its_usage():
+    world, account = world_with_ledger()
     submit(world, "j-1", 4, crew="blue", run_s=4.0)
     world.run(15)
     used = [e for e in entries(world) if "blue" in e.get("teams", {})][-1]["teams"]["blue"][4]
@@ -418,28 +434,31 @@
     world.fault("kill", "all", 1)
     world.run(8)
     submit(world, "j-3", 4, crew="blue", run_s=4.0)
-    books = assert_ledger_matches_account(world, account)
-    faded = [row[4] for e in books.entries if (row := e.get("teams", {}).get("blue"))]
-    assert faded[-1] > used
+    ledger = assert_ledger_matches_account(world, account)
+    decayed = [row[4] for e in ledger.entries if (row := e.get("teams", {}).get("blue"))]
+    assert decayed[-1] > used
 
 
-def test_weights_and_half_life_that_change_while_tasks_run_are_an_entry_and_lose_nothing():
-    """Amounts are kept by resource, so that what is open is not weighed anew with other weights."""
-    world, account = ledger_world()
+def test_changed_weights_and_half_life_while_tasks_run_lose_no_usage():
+    """Amounts are kept by resource, so changed weights do not change the weighted usage of open jobs."""
+    world, account = world_with_ledger()
     submit(world, tasks=6, run_s=25.0)
     assert world.run(10, lambda: len(entries(world)) >= 3)
     weights = {"cpu": 3.0, "accelerator": 10.0, "memory_gb": 0.5}
     world.operators = operators(period=timedelta(seconds=2), half_life=timedelta(hours=1), weights=weights)
     world.fault("kill", "all", 1)
-    books = assert_ledger_matches_account(world, account)
-    said = [e["policy"] for e in books.entries if e["kind"] == "settings"]
-    assert [policy["weights"] for policy in said] == [[1000, 10_000, 0], [3000, 10_000, 500]]
-    assert [policy["half_life"] for policy in said] == [WEEK, 3_600_000]
+    ledger = assert_ledger_matches_account(world, account)
+    policies = [e["policy"] for e in ledger.entries if e["kind"] == "settings"]
+    assert [policy["weights"] for policy in policies] == [[1000, 10_000, 0], [3000, 10_000, 500]]
+    assert [policy["half_life"] for policy in policies] == [WEEK, 3_600_000]
 
 
 @pytest.mark.parametrize("run", [3.0, 6.0, 9.0, 12.0])
-def test_the_last_job_of_a_day_is_closed_though_nothing_follows(run):
-    """It ended sooner after a closing than the next was due, and was looked at again only once something changed."""
+def test_last_job_is_charged_without_a_later_change(run):
+    """A job that ends before the next closing is due must be charged even if nothing changes afterwards.
+
+    Such a job was once looked at again only after another change.
+    """
     world = World(machines=6, operators=operators(period=timedelta(seconds=20)))
     account = UsageObserver(world.store, world.clock)
     world.run(6)
@@ -450,8 +469,8 @@
     assert sums == account.by_team() != {}
 
 
-def test_nothing_is_written_while_nothing_runs_and_nobody_waits():
-    world, account = ledger_world()
+def test_idle_cluster_writes_no_entries():
+    world, account = world_with_ledger()
     submit(world, run_s=4.0)
     assert_ledger_matches_account(world, account)
     before = len(entries(world))
@@ -459,7 +478,7 @@
     assert len(entries(world)) == before
 
 
-def test_a_thousand_teams_fit_the_limits_and_a_takeover_reads_pages_only():
+def test_thousand_teams_fit_store_limits_and_takeover_reads_only_pages():
     teams = tuple(Team(f"team-{n:04d}", 1.0, 0.0, None, None) for n in range(1000))
     world = World(machines=3, teams=teams, operators=operators(period=timedelta(seconds=2)))
     world.run(6)
@@ -483,14 +502,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_weeks_of_eight_teams_with_kills_freezes_and_outages(seed):
-    """The shortened form of `benchmarks/ledger.py weeks`."""
-    proof = LedgerSimulation(seed, timedelta(days=4), day_speed=1440).play()
-    assert proof.ledger == proof.observed_usage
-    assert proof.replayed.fault is None
-    assert proof.wrong == []
-    assert proof.broken == []
-    assert (proof.faults > 3, proof.used > 20, len(proof.observed_usage) > 5) == (True, True, True)
+def test_simulated_days_of_eight_teams_with_kills_freezes_and_outages(seed):
+    """A shorter run of `benchmarks/ledger.py weeks`."""
+    check = LedgerSimulation(seed, timedelta(days=4), day_speed=1440).play()
+    assert check.ledger == check.observed_usage
+    assert check.replayed.fault is None
+    assert check.wrong == []
+    assert check.broken == []
+    assert (check.faults > 3, check.used > 20, len(check.observed_usage) > 5) == (True, True, True)
 
 
 # -- commands -------------------------------------------------------------------------------
@@ -500,20 +519,20 @@
     return CliRunner().invoke(main, ["ledger", *args])
 
 
-def test_an_exported_ledger_is_audited_replayed_and_reported_offline(tmp_path):
-    books = ledger_of([(DAY, {"red": (10**9, 5)}), (DAY, {"blue": (0, 7)}), (DAY, {"blue": (9, 0)})])
+def test_exported_ledger_is_audited_replayed_and_reported_offline(tmp_path):
+    ledger = build_ledger([(DAY, {"red": (10**9, 5)}), (DAY, {"blue": (0, 7)}), (DAY, {"blue": (9, 0)})])
     file = tmp_path / "usage.parquet"
-    archive.write(file, books.base, books.entries)
-    assert archive.read(file) == LedgerContents(books.base, books.entries)
+    archive.write(file, ledger.base, ledger.entries)
+    assert archive.read(file) == LedgerContents(ledger.base, ledger.entries)
     assert invoke("audit", "--file", str(file)).exit_code == 0
     shown = orjson.loads(invoke("show", "--file", str(file), "--json").stdout)
     assert set(shown["teams"]) == {"red", "blue"}
-    page = html(books, audit(books))
+    page = html(ledger, audit(ledger))
     assert page.count("<svg") == 3
     assert "http://" not in page.replace("http://www.w3.org", "").replace("http://purl.org", "").replace(
-        "http://creativecommons.org", ""), "nothing is fetched"  # fmt: skip
-    changed = [*books.entries[:2], books.entries[2] | {"t": 5}, *books.entries[3:]]
-    archive.write(file, books.base, changed)
+        "http://creativecommons.org", ""), "the page refers to an external resource"  # fmt: skip
+    changed = [*ledger.entries[:2], ledger.entries[2] | {"t": 5}, *ledger.entries[3:]]
+    archive.write(file, ledger.base, changed)
     result = invoke("replay", "--file", str(file))
     assert (result.exit_code, "entry 3" in result.stderr) == (1, True)
 
@@ -532,13 +551,13 @@
     assert said in result.stderr
 
 
-def test_entries_are_rolled_up_into_balances_and_the_rest_still_follows():
-    world, account = ledger_world()
+def test_compacted_entries_become_balances_and_later_entries_still_replay():
+    world, account = world_with_ledger()
     submit(world, "j-1", 4, run_s=4.0)
     world.run(15)
     store = world.leader().store
-    books = reader.read(store)
-    base = replay(books.base, books.entries[:-1]).base
+    ledger = reader.read(store)
+    base = replay(ledger.base, ledger.entries[:-1]).base
     assert reader.compact(store, base) == base.number
     submit(world, "j-2", 4, crew="blue", run_s=4.0)
     world.run(25)
@@ -547,5 +566,5 @@
     assert audit(rest).fault is None
     with pytest.raises(LedgerError, match="were archived before"):
         reader.compact(store, base)
-    assert total(books.entries[:-1])["red"] + total(rest.entries)["red"] == account.by_team()["red"]
+    assert total(ledger.entries[:-1])["red"] + total(rest.entries)["red"] == account.by_team()["red"]
     assert Balance() == Balance(ResourceTime(), 0, FIXED_POINT_ONE)
