--- a/tests/test_ticket_gateway.py
+++ b/tests/test_ticket_gateway.py
@@ -1,4 +1,7 @@
-"""Ticket gateways in the simulated world: whole or not at all, as often as the class allows, one final answer."""
+"""Ticket gateways in the simulated world.
+
+A ticket is accepted whole or not at all, runs as often as its class allows, and gets one final answer.
+"""
 
 import io
 import subprocess
@@ -36,8 +39,8 @@
 NOW = datetime(2026, 3, 1, tzinfo=UTC)
 
 
-def farm(**how) -> TicketWorld:
-    world = TicketWorld(**{"seed": 1, "machines": 9, "capacity": 12, "teams": TEAMS} | how)
+def start_world(**overrides) -> TicketWorld:
+    world = TicketWorld(**{"seed": 1, "machines": 9, "capacity": 12, "teams": TEAMS} | overrides)
     world.run(6)
     return world
 
@@ -59,12 +62,12 @@
     return [key for key in world.store.data if key.startswith(prefixes or ("t/head", "t/l/ticket", "t/end", "t/part"))]
 
 
-# -- from acceptance to the one answer ----------------------------------------------------
+# -- from acceptance to the final answer --------------------------------------------------
 
 
 @pytest.mark.parametrize("kind", ["single", "chain", "diamond", "wide", "long"])
-def test_a_ticket_is_done_when_all_its_steps_are(kind):
-    world = farm()
+def test_ticket_is_done_when_all_steps_are_done(kind):
+    world = start_world()
     status, answer = submit(world, ticket(kind, "once", 1, tasks=70 if kind == "wide" else 2))
     assert (status, answer["state"]) == (201, "pending")
     final = await_end(world, answer["ticket"])
@@ -75,7 +78,7 @@
 
 
 def test_steps_start_after_those_they_depend_on():
-    world = farm()
+    world = start_world()
     submit(world, ticket("chain", "once", 1))
     assert world.run(30, lambda: [s["state"] for s in steps(world)] == ["done", "sent", "waiting"])
     first, second, third = steps(world)
@@ -87,8 +90,8 @@
     return world.ask_gateway("show", "chain-1")[1]["steps"]
 
 
-def test_a_ticket_outlives_the_gateway_that_drives_it():
-    world = farm()
+def test_ticket_survives_the_loss_of_the_driving_gateway():
+    world = start_world()
     submit(world, ticket("chain", "once", 1, run=6.0))
     for _ in range(2):
         assert world.run(20, lambda: world.driver_name() is not None)
@@ -99,18 +102,21 @@
     assert await_end(world, "chain-1.1")["state"] == "done"
 
 
-def test_a_gateway_that_stood_still_can_not_start_a_step_of_a_cancelled_ticket():
-    """Between its last look and its write the ticket was cancelled through another: the write fails."""
-    world = farm()
+def test_paused_gateway_cannot_start_a_step_of_a_cancelled_ticket():
+    """The ticket is cancelled through another gateway between the first one's last read and its write.
+
+    The write must fail.
+    """
+    world = start_world()
     submit(world, ticket("chain", "once", 1))
     assert world.run(10, lambda: world.driver_name() is not None)
     stale = world.gateways[world.driver_name()]
     other = next(n for n in world.gateways if n != stale.settings.name)
     world.paused_until[stale.settings.name] = world.clock.now + timedelta(hours=1)
-    assert world.run(30, lambda: not records(world, "l/job/")), "the first step ends unseen"
+    assert world.run(30, lambda: not records(world, "l/job/")), "the first step did not end"
     assert world.ask_gateway("cancel", "chain-1", other)[1]["state"] == "cancelled"
     jobs = set(records(world, "l/job/", "e/"))
-    stale.follow(stale.jobs)  # the job's end, and not the cancellation
+    stale.follow(stale.jobs)  # reads that the job ended, but not the cancellation
     stale.reconcile()
     assert set(records(world, "l/job/", "e/")) == jobs
     world.paused_until.clear()
@@ -120,7 +126,7 @@
 
 
 def test_lagging_gateway_reports_no_stale_state():
-    world = farm()
+    world = start_world()
     submit(world, ticket("chain", "once", 1, run=20.0))
     world.run(2)
     world.paused_until["gate-1"] = world.clock.now + timedelta(hours=1)
@@ -129,9 +135,12 @@
     assert (answer.status, orjson.loads(answer.body)["state"]) == (200, "cancelled")
 
 
-def test_a_gateway_that_lags_cancels_no_job_that_has_ended():
-    """Its copy of the job is older than the job's end: written anew, the job would run once more."""
-    world = farm()
+def test_lagging_gateway_does_not_cancel_an_ended_job():
+    """The gateway's copy of the job is older than the job's end.
+
+    If it wrote the job's record again, the job would run a second time.
+    """
+    world = start_world()
     submit(world, ticket("single", "once", 1))
     world.run(1)
     for name in world.gateways:
@@ -142,9 +151,9 @@
     assert records(world, "l/job/") == []
 
 
-def test_a_part_that_is_written_late_leaves_nothing_behind():
-    """Held back on its way until what it belongs to was swept."""
-    world = farm(machines=3, gateways=1)
+def test_part_written_after_its_plan_was_swept_leaves_no_record():
+    """The write of a plan's part is delayed until the staged plan that it belongs to has been swept."""
+    world = start_world(machines=3, gateways=1)
     world.late_request_delay_s = (400.0, 400.0)
     held: list[str] = []
 
@@ -161,16 +170,16 @@
     assert records(world, "t/") == [key for key in records(world, "t/") if key.startswith("t/l/")]
 
 
-# -- whole or not at all --------------------------------------------------------------------
+# -- acceptance is atomic -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("fate", ["before", "after"])
-def test_a_crash_at_any_request_of_an_acceptance_leaves_all_or_nothing(fate):
-    """The plan is longer than a record may be: owner, parts and acceptance are transactions of their own."""
+def test_crash_at_any_request_of_an_acceptance_leaves_all_or_nothing(fate):
+    """The plan exceeds the size limit of a record, so owner, parts and acceptance are separate transactions."""
     fields = ticket("long", "once", 1, tasks=1)
-    crashes = 0
+    crash_count = 0
     for at in range(20):
-        world = farm(gateways=1, machines=3)
+        world = start_world(gateways=1, machines=3)
         left = [at]
 
         def kill(name: str, path: str, left=left) -> str | None:
@@ -183,7 +192,7 @@
         if status is not None:
             assert status == 201
             break
-        crashes += 1
+        crash_count += 1
         whole = bool(records(world, TICKET_PREFIX))
         assert bool(records(world, HEAD_PREFIX)) is whole
         world.run(10)
@@ -192,27 +201,30 @@
         if at == 3 and not whole:
             assert await_end(world, "long-1.1", 200)["state"] == "done"
             world.run(330)
-            assert records(world, PART_PREFIX, STAGE_PREFIX) == [], "what was staged in vain is gone"
-    assert crashes >= 6
+            assert records(world, PART_PREFIX, STAGE_PREFIX) == [], "records of the plan that was not accepted are left"
+    assert crash_count >= 6
 
 
 def test_swept_plan_of_paused_gateway_is_staged_again():
-    """Its gateway stops before it accepts, and the parts are gone by then: the acceptance must fail."""
-    world = farm(machines=3)
+    """The gateway pauses between staging and acceptance, and the staged parts are swept in that time.
+
+    The acceptance must fail, and the plan is staged again.
+    """
+    world = start_world(machines=3)
     fields = ticket("long", "once", 1, tasks=1)
-    slow = "gate-0"
+    paused = "gate-0"
 
     def wait(name: str, path: str) -> None:
         staged = [world.store.data[key][0]["parts"] for key in records(world, STAGE_PREFIX)]
-        if name == slow and path == "/commit" and staged == [len(records(world, PART_PREFIX))] and not waited:
+        if name == paused and path == "/commit" and staged == [len(records(world, PART_PREFIX))] and not waited:
             waited.append(path)
-            world.paused_until[slow] = world.clock.now + timedelta(minutes=20)
+            world.paused_until[paused] = world.clock.now + timedelta(minutes=20)
             world.run(600, lambda: not records(world, PART_PREFIX))
-            del world.paused_until[slow]
+            del world.paused_until[paused]
 
     waited: list[str] = []
     world.kill_decision = wait
-    status, _ = submit(world, fields, slow)
+    status, _ = submit(world, fields, paused)
     assert (status, waited) == (201, ["/commit"])
     token = world.store.data["t/l/ticket/long-1.1"][0]["plan"][0]
     assert all(token in key for key in records(world, PART_PREFIX, STAGE_PREFIX))
@@ -231,8 +243,8 @@
         ({"template": {"specificationVersion": "jobtemplate-2023-09", "name": "x", "steps": []}}, 400, "steps"),
     ],
 )
-def test_a_refusal_names_what_is_wrong_and_leaves_no_record(change, status, said):
-    world = farm(machines=3)
+def test_refusal_names_the_fault_and_leaves_no_record(change, status, said):
+    world = start_world(machines=3)
     got, answer = submit(world, ticket("chain", "once", 1) | change)
     assert got == status, answer
     assert said in orjson.dumps(answer).decode()
@@ -240,7 +252,7 @@
 
 
 def test_step_with_too_large_job_record_is_refused():
-    world = farm(machines=3)
+    world = start_world(machines=3)
     fields = ticket("single", "once", 1)
     types = ["box", *(f"m{n:060d}" for n in range(49))]
     attribute = {"name": "attr.machine_type", "anyOf": types}
@@ -252,22 +264,22 @@
     assert records(world) == []
 
 
-def test_nodes_import_nothing_of_tickets():
-    """A node has as little as 146 MB."""
+def test_node_imports_no_ticket_module():
+    """A node has as little as 146 MB of memory."""
     code = "import kelpjunction.daemon, sys; sys.exit(any('tickets' in m or 'openjd' in m for m in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
 
 
-def test_several_faults_are_told_at_once():
-    world = farm(machines=3)
+def test_several_faults_are_reported_in_one_answer():
+    world = start_world(machines=3)
     status, answer = submit(world, ticket("chain", "once", 1) | {"cpus": 900.0})
     assert (status, [f["path"] for f in answer["faults"]]) == (422, ["steps.a", "steps.b", "steps.c"])
 
 
-# -- as often as its class allows ------------------------------------------------------------
+# -- reruns by class ---------------------------------------------------------------------------
 
 
-def test_how_often_a_ticket_runs():
+def test_runs_again_by_class():
     def end(final: FinalState, ago: timedelta) -> FinalRecord:
         return FinalRecord(final, NOW - ago, NOW - ago + timedelta(days=1), (), None)
 
@@ -286,8 +298,8 @@
 
 
 def test_the_same_ticket_through_two_gateways_runs_once():
-    """Content makes the id where the client gives none, however its keys are ordered."""
-    world = farm()
+    """Without an id from the client, the id is derived from the content, independent of the order of its keys."""
+    world = start_world()
     fields = {k: v for k, v in ticket("chain", "once", 1).items() if k != "id"}
     first = submit(world, fields, "gate-0")
     again = submit(world, dict(reversed(fields.items())), "gate-1")
@@ -296,42 +308,42 @@
     assert len(records(world, TICKET_PREFIX)) == 1
 
 
-def test_of_two_gateways_that_accept_the_same_ticket_at_once_one_decides():
-    """The second submits between the first's look at the head and its acceptance."""
-    world = farm()
+def test_same_ticket_accepted_by_two_gateways_at_once_runs_once():
+    """The second gateway accepts the ticket between the first one's read of the head and its acceptance."""
+    world = start_world()
     fields = ticket("chain", "once", 1)
     other: list[tuple[int | None, dict]] = []
 
-    def meanwhile(name: str, path: str) -> None:
+    def submit_to_other(name: str, path: str) -> None:
         if name == "gate-0" and path == "/commit" and not other:
             other.append((None, {}))
             other[0] = submit(world, fields, "gate-1")
 
-    world.kill_decision = meanwhile
+    world.kill_decision = submit_to_other
     status, answer = submit(world, fields, "gate-0")
     assert (status, other[0][0], answer["ticket"]) == (200, 201, other[0][1]["ticket"])
-    assert len(records(world, TICKET_PREFIX, "l/job/")) == 2, "one course, and its first step's job"
+    assert len(records(world, TICKET_PREFIX, "l/job/")) == 2, "expected one run and the job of its first step"
 
 
 def test_a_known_ticket_keeps_its_class():
-    """Else a client could run a ticket of class once again by naming another."""
-    world = farm()
+    """Otherwise a client could run a ticket of class `once` again by naming another class."""
+    world = start_world()
     fields = ticket("single", "once", 1)
     submit(world, fields)
     for klass in ("always", "nope"):
         assert submit(world, fields | {"class": klass})[0] == 200
 
 
-def test_an_id_that_comes_again_with_other_content_is_told():
-    world = farm()
+def test_reused_id_with_other_content_is_reported():
+    world = start_world()
     fields = ticket("single", "once", 1)
     submit(world, fields)
     assert "same_content" not in submit(world, fields)[1]
     assert submit(world, fields | {"template": ticket("chain", "once", 1)["template"]})[1]["same_content"] is False
 
 
-def test_a_failed_ticket_runs_again_as_often_as_its_class_says_and_each_run_keeps_its_answer():
-    world = farm()
+def test_failed_ticket_runs_again_as_its_class_allows_and_each_run_keeps_its_answer():
+    world = start_world()
     fields = ticket("failing", "after-failure", 1)
     assert submit(world, fields)[0] == 201
     first = await_end(world, "failing-1.1")
@@ -346,29 +358,29 @@
 
 def test_ticket_records_are_removed_after_remember_window():
     short = ticket_class("once", RerunPolicy.ONCE, remember=timedelta(seconds=60))
-    world = farm(classes={"once": short}, machines=3)
+    world = start_world(classes={"once": short}, machines=3)
     fields = ticket("single", "once", 1)
     submit(world, fields)
     await_end(world, "single-1.1")
     assert submit(world, fields)[0] == 200
-    for name in world.gateways:  # the memory survives all of them
+    for name in world.gateways:  # the records survive the restart of every gateway
         world.gateways[name] = None
         world.start_gateway(name)
     world.run(5)
     assert submit(world, fields)[0] == 200
     assert submit(world, ticket("chain", "once", 1))[0] == 201
     idle = next(name for name in world.gateways if name != world.driver_name())
-    assert world.ask_gateway("cancel", "chain-1", idle)[0] == 200  # it ends without the one that drives
+    assert world.ask_gateway("cancel", "chain-1", idle)[0] == 200  # it ends through a gateway that does not drive it
     world.run(90)
     assert records(world) == []
     assert state(world, "single-1") is None
     assert submit(world, fields)[0] == 201
 
 
-# -- failing and cancelling -------------------------------------------------------------------
+# -- failure and cancellation ------------------------------------------------------------------
 
 
-def course(*states: StepState) -> TicketProgress:
+def ticket_progress(*states: StepState) -> TicketProgress:
     return TicketProgress("c", "red", NOW, states, "", "")
 
 
@@ -379,37 +391,37 @@
     )
 
 
-def test_a_failed_step_ends_what_depends_on_it_and_the_rest_as_its_class_says():
+def test_failed_step_cancels_its_dependents_and_the_class_decides_on_the_rest():
     w, s, d, f, c = StepState
-    made, now = diamond(), course(d, s, s, w)
+    made, now = diamond(), ticket_progress(d, s, s, w)
     after = now.with_step_states({1: f}).with_blocked_steps_cancelled(made)
     assert after.states == (d, f, s, c)
     assert now.with_step_states({1: f}).with_submission_stopped().states == (d, f, s, c)
-    assert course(w, w, w, w).ready_steps(made) == [0]
-    assert course(d, d, s, w).ready_steps(made) == []
+    assert ticket_progress(w, w, w, w).ready_steps(made) == [0]
+    assert ticket_progress(d, d, s, w).ready_steps(made) == []
     with pytest.raises(ValueError, match="can't go from DONE"):
         now.with_step_states({0: s})
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(StepState)), max_size=12), st.integers(0, 12))
-def test_a_course_ends_once_and_its_record_holds_all_of_it(moves, halt_at):
-    now = course(*[StepState.WAITING] * 4)
-    for number, (place, to) in enumerate(moves):
-        if number == halt_at and now.final_state is None:
+def test_ticket_progress_ends_once_and_its_record_is_complete(changes, stop_at):
+    now = ticket_progress(*[StepState.WAITING] * 4)
+    for number, (place, to) in enumerate(changes):
+        if number == stop_at and now.final_state is None:
             now = now.with_submission_stopped(cancelled=True)
         was = now.final_state
         try:
             now = now.with_step_states({place: to})
         except ValueError:
             continue
-        assert was is None, "nothing moves once all steps have ended"
+        assert was is None, "a step changed its state after all steps had ended"
         assert TicketProgress.parse(orjson.loads(orjson.dumps(now.record()))) == now
     assert now.final_state is not FinalState.DONE or now.states == (StepState.DONE,) * 4
 
 
 @pytest.mark.parametrize("after", [0.0, 4.0, 8.0])
-def test_a_cancelled_ticket_ends_at_once_with_all_its_jobs(after):
-    world = farm()
+def test_cancelled_ticket_ends_at_once_with_all_its_jobs(after):
+    world = start_world()
     submit(world, ticket("long", "once", 1, run=30.0, tasks=1))
     submit(world, ticket("chain", "once", 1, run=4.0))
     world.run(after)
@@ -422,15 +434,15 @@
     assert [state(world, run) for run in ("long-1", "chain-1")] == ["cancelled", "cancelled"]
 
 
-def test_a_ticket_that_is_done_can_not_be_cancelled():
-    world = farm()
+def test_done_ticket_cannot_be_cancelled():
+    world = start_world()
     submit(world, ticket("single", "once", 1))
     done = await_end(world, "single-1")
     assert world.ask_gateway("cancel", "single-1") == (200, done)
 
 
-def test_a_job_that_somebody_else_cancels_fails_its_ticket():
-    world = farm()
+def test_job_cancelled_by_another_client_fails_its_ticket():
+    world = start_world()
     submit(world, ticket("chain", "once", 1, run=20.0))
     job = world.ask_gateway("show", "chain-1")[1]["steps"][0]["job"]
     assert world.abort(job) == 200
@@ -438,10 +450,10 @@
     assert (failure["step"], "cancelled by somebody else" in failure["why"]) == ("a", True)
 
 
-def test_steps_that_do_not_depend_on_a_failed_one_are_stopped_or_finish():
-    """A step fails while another runs."""
+def test_class_decides_whether_independent_steps_are_stopped_or_finish():
+    """One of two independent steps fails while the other runs."""
     for klass, others in (("once", {"failed": 1, "cancelled": 1}), ("finish", {"failed": 1, "done": 1})):
-        world = farm()
+        world = start_world()
         fields = ticket("diamond", klass, 1, run=40.0)
         template = fields["template"]
         template["steps"] = [step | {"dependencies": []} for step in template["steps"][:2]]
@@ -454,20 +466,20 @@
 
 
 def test_store_outage_gives_503_for_all_requests():
-    world = farm(machines=3)
+    world = start_world(machines=3)
     submit(world, ticket("chain", "once", 1))
     world.fault("outage")
     assert [submit(world, ticket("chain", "once", n))[0] for n in (1, 2)] == [503, 503]
     assert [world.ask_gateway(what, "chain-1")[0] for what in ("show", "cancel")] == [503, 503]
 
 
-# -- the same accounts --------------------------------------------------------------------------
+# -- usage accounting ---------------------------------------------------------------------------
 
 
 def test_ticket_is_charged_like_equal_native_job():
     held = []
     for native in (False, True):
-        world = farm(gateways=1)
+        world = start_world(gateways=1)
         account = UsageObserver(world.store, world.clock)
         fields = ticket("wide", "once", 1, run=7.0, tasks=70)
         if native:
@@ -482,7 +494,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_tickets_and_native_jobs_together_through_kills_and_outages(seed):
-    """Shortened; benchmarks/tickets.py plays a thousand."""
+    """A shorter run of `benchmarks/tickets.py mixed`, which submits a thousand tickets."""
     verdict = TicketSimulation(seed, tickets=40, length=120.0).play()
     assert verdict.problems == []
     assert verdict.ledger == verdict.observed_usage
@@ -490,29 +502,29 @@
     assert set(verdict.ends) == {"done", "failed", "cancelled"}
 
 
-# -- the entry ------------------------------------------------------------------------------------
+# -- HTTP interface --------------------------------------------------------------------------------
 
 
 def ask(world: TicketWorld, method: str, path: str, body: bytes = b"", length: int | None = None) -> UserResponse:
-    """Through the WSGI application, as HTTP brings it."""
-    told = []
+    """Send a request through the WSGI application, as the HTTP server does."""
+    responses = []
     environ = {
         "REQUEST_METHOD": method, "PATH_INFO": path, "wsgi.input": io.BytesIO(body),
         "CONTENT_LENGTH": str(len(body) if length is None else length),
     }  # fmt: skip
     gateway = next(g for g in world.gateways.values() if g is not None)
-    content = b"".join(Application(gateway)(environ, lambda status, headers: told.append((status, dict(headers)))))
-    (status, headers) = told[0]
+    content = b"".join(Application(gateway)(environ, lambda status, headers: responses.append((status, dict(headers)))))
+    (status, headers) = responses[0]
     return UserResponse(int(status[:3]), content, headers.get("Retry-After"))
 
 
-WORLD: list[TicketWorld] = []
+SHARED_WORLDS: list[TicketWorld] = []
 
 
 def shared_world() -> TicketWorld:
-    if not WORLD:
-        WORLD.append(farm(machines=3, gateways=1))
-    return WORLD[0]
+    if not SHARED_WORLDS:
+        SHARED_WORLDS.append(start_world(machines=3, gateways=1))
+    return SHARED_WORLDS[0]
 
 
 json = st.recursive(
@@ -524,13 +536,13 @@
 
 @settings(max_examples=80)
 @given(st.data())
-def test_whatever_comes_in_is_refused_in_plain_words_and_leaves_nothing(data):
-    """Bytes, JSON of any form, and a good submission with one field replaced."""
+def test_arbitrary_body_is_refused_with_a_reason_and_leaves_no_record(data):
+    """Random bytes, random JSON, and a valid submission with one field replaced."""
     fields = ticket("chain", "once", 1)
     name = data.draw(st.sampled_from(sorted(fields)))
-    odd = data.draw(json)
+    value = data.draw(json)
     body = data.draw(
-        st.sampled_from([data.draw(st.binary(max_size=60)), orjson_of(odd), orjson_of(fields | {name: odd})])
+        st.sampled_from([data.draw(st.binary(max_size=60)), encode_json(value), encode_json(fields | {name: value})])
     )
     world = shared_world()
     before = records(world)
@@ -544,7 +556,7 @@
     assert records(world) == before
 
 
-def orjson_of(value) -> bytes:
+def encode_json(value) -> bytes:
     try:
         return orjson.dumps(value)
     except TypeError:  # an integer beyond 64 bits
@@ -566,7 +578,7 @@
         ("GET", "/", b"", 404),
     ],
 )
-def test_answers_at_the_entry(method, path, body, status):
+def test_http_status_by_method_and_path(method, path, body, status):
     assert ask(shared_world(), method, path, body).status == status
 
 
@@ -596,7 +608,7 @@
     assert load_tickets(file).ticket_class("gone").rerun_policy is RerunPolicy.ONCE
 
 
-def test_the_settings_under_deploy_are_valid_and_what_starts_a_gateway_names_them():
+def test_settings_under_deploy_are_valid_and_named_in_its_start_command():
     deploy = Path(__file__).resolve().parent.parent / "deploy"
     assert {klass.rerun_policy for klass in load_tickets(deploy / "tickets.json").classes.values()} == set(RerunPolicy)
     assert "--settings deploy/tickets.json --config" in tomllib.loads((deploy / "gateway.toml").read_text())["run"]
--- a/tests/test_ticket_planning.py
+++ b/tests/test_ticket_planning.py
@@ -1,4 +1,7 @@
-"""Render-farm job tickets: what each part becomes, and what is refused, whole and with its path."""
+"""Planning of job tickets: which jobs and tasks a ticket becomes, and how faults are reported.
+
+A ticket with any fault is refused as a whole, and each fault is reported with its path.
+"""
 
 from decimal import Decimal
 from itertools import product
@@ -27,7 +30,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RUN = {"actions": {"onRun": {"command": "match", "args": ["{{Task.Param.Frame}}"]}}}
-ORDER = SubmissionOptions("red")
+OPTIONS = SubmissionOptions("red")
 
 
 def template(*steps: dict, **fields) -> dict:
@@ -47,17 +50,17 @@
 
 
 def faults(document, **parameters: str) -> list[str]:
-    """Everything that is wrong with a ticket, each as a line."""
+    """Return the faults for which a ticket is refused, one line each."""
     with pytest.raises(TicketRejected) as refused:
         name, steps = read(document, **parameters) if isinstance(document, dict) else read_text(document, {})
-        build_plan("t-1", name, steps, ORDER)
+        build_plan("t-1", name, steps, OPTIONS)
     return [str(fault) for fault in refused.value.violations]
 
 
-# -- what a ticket becomes -------------------------------------------------------------
+# -- plans of valid tickets --------------------------------------------------------------
 
 
-def test_steps_become_jobs_that_start_after_those_they_depend_on():
+def test_steps_become_jobs_in_dependency_order():
     asked = {
         "amounts": [
             {"name": "amount.worker.vcpu", "min": 4},
@@ -76,17 +79,19 @@
         step("fetch"),
     )
     name, steps = read(document)
-    made = build_plan("t-1", name, steps, ORDER)
-    assert [j.name for j in made.jobs] == ["fetch", "match", "publish"]
-    _, match, publish = made.jobs
+    plan = build_plan("t-1", name, steps, OPTIONS)
+    assert [j.name for j in plan.jobs] == ["fetch", "match", "publish"]
+    _, match, publish = plan.jobs
     assert (match.depends_on, publish.depends_on) == ((0,), (0, 1))
     spec = match.spec
     assert (spec.cpus, spec.memory, spec.gpus) == (4.0, 8.0, 1.0)
     assert (spec.zone, spec.types) == ("regina", ("big-box", "photo-box"))
-    assert all(users.parse_job(users.fields_from_job(j.spec)) == j.spec for j in made.jobs), "as users submit them"
+    assert all(users.parse_job(users.fields_from_job(j.spec)) == j.spec for j in plan.jobs), (
+        "a job differs after a round trip through its submission fields"
+    )
 
 
-def test_chunks_are_tasks():
+def test_each_chunk_becomes_a_task():
     space = {"name": "F", "type": "CHUNK[INT]", "range": "1-95", "chunks": {
         "defaultTaskCount": 10, "rangeConstraint": "CONTIGUOUS"}}  # fmt: skip
     document = template(step("c", parameterSpace={"taskParameterDefinitions": [space]}), extensions=["TASK_CHUNKING"])
@@ -103,7 +108,7 @@
     values, st.integers(1, 40), st.lists(st.text("abc", min_size=1, max_size=3), min_size=1, max_size=4, unique=True)
 )
 def test_tasks_cover_the_parameter_space_exactly_once(numbers, frames, words):
-    """A product of a list, a range and an association of two lists: each point is one task's, and no other."""
+    """The space is the product of a list, a range and an association of two lists; each point is exactly one task."""
     space = {
         "taskParameterDefinitions": [
             {"name": "N", "type": "INT", "range": numbers},
@@ -113,8 +118,8 @@
         ],
         "combination": "N * Frame * (W, I)",
     }
-    _, (only,) = read(template(step("s", parameterSpace=space)))
-    points = [tuple(only.parameters(i)[n] for n in ("N", "Frame", "W", "I")) for i in range(only.tasks)]
+    _, (planned_step,) = read(template(step("s", parameterSpace=space)))
+    points = [tuple(planned_step.parameters(i)[n] for n in ("N", "Frame", "W", "I")) for i in range(planned_step.tasks)]
     wanted = {
         (str(n), str(f), w, str(i)) for n, f, (i, w) in product(numbers, range(1, frames + 1), list(enumerate(words)))
     }
@@ -129,10 +134,10 @@
     assert all(users.valid_ref(ref) for ref in refs)
 
 
-# -- what is refused ---------------------------------------------------------------------
+# -- refused tickets -----------------------------------------------------------------------
 
 
-def test_every_fault_is_named_with_its_path_and_rule():
+def test_every_fault_has_its_path_and_rule():
     asked = {
         "amounts": [{"name": "amount.worker.vcpu", "min": 2, "max": 8}, {"name": "amount.licence", "min": 1}],
         "attributes": [
@@ -171,7 +176,7 @@
         (b"x" * 70_000, "at most 65536 bytes"),
     ],
 )
-def test_a_malformed_ticket_is_refused_with_a_plain_reason(document, said):
+def test_malformed_ticket_is_refused_with_a_reason(document, said):
     assert any(said in fault for fault in faults(document)), faults(document)
 
 
@@ -187,8 +192,8 @@
 
 
 @given(st.data())
-def test_a_mutilated_ticket_is_refused_or_whole(data):
-    """Whatever is taken out or put in, the answer is a refusal with reasons or a plan of every step."""
+def test_mutated_ticket_is_refused_or_fully_planned(data):
+    """A ticket with values removed or replaced is refused with reasons, or its plan has a job for every step."""
     space = {"taskParameterDefinitions": [{"name": "F", "type": "INT", "range": "1-9"}]}
     document = template(step("a"), step("b", dependencies=[{"dependsOn": "a"}], parameterSpace=space))
     for _ in range(data.draw(st.integers(1, 3))):
@@ -199,27 +204,29 @@
             if data.draw(st.booleans()):
                 break
             at = at[key]
-        holder, key = keys[-1]
+        container, key = keys[-1]
         if data.draw(st.booleans()):
-            del holder[key]
+            del container[key]
         else:
-            holder[key] = data.draw(st.one_of(st.none(), st.integers(-5, 10**12), st.text(max_size=5), st.just([{}])))
+            container[key] = data.draw(
+                st.one_of(st.none(), st.integers(-5, 10**12), st.text(max_size=5), st.just([{}]))
+            )
     try:
         name, steps = read_text(yaml.safe_dump(document).encode(), {})
-        made = build_plan("t-1", name, steps, ORDER)
+        plan = build_plan("t-1", name, steps, OPTIONS)
     except TicketRejected as refused:
         assert refused.violations
         assert all(fault.rule for fault in refused.violations)
     else:
-        assert len(made.jobs) == len(document["steps"]) >= 1
+        assert len(plan.jobs) == len(document["steps"]) >= 1
 
 
-def test_a_step_without_numbers_takes_what_the_order_says():
-    made = build_plan("t-1", "n", [Step("a", 1, amounts=(Amount("amount.worker.vcpu", Decimal(0), None),))], ORDER)
-    assert (made.jobs[0].spec.cpus, made.jobs[0].spec.memory) == (1.0, 1.0)
+def test_step_without_amounts_uses_the_submission_options():
+    plan = build_plan("t-1", "n", [Step("a", 1, amounts=(Amount("amount.worker.vcpu", Decimal(0), None),))], OPTIONS)
+    assert (plan.jobs[0].spec.cpus, plan.jobs[0].spec.memory) == (1.0, 1.0)
 
 
-def test_the_command_prints_jobs_or_every_fault(tmp_path):
+def test_check_command_prints_jobs_or_every_fault(tmp_path):
     run = CliRunner().invoke
     example = str(ROOT / "examples" / "match.yaml")
     result = run(main, ["ticket", "check", example, "-p", "Race=regina-10k", "--json"])
