--- a/benchmarks/earlier_names.py
+++ b/benchmarks/earlier_names.py
@@ -1,9 +1,9 @@
-"""Gives the classes of an earlier revision, which a benchmark is compared with, the names that they have today."""
+"""Gives the classes of an earlier revision their current names, so that a benchmark can time that revision."""
 
 from importlib import import_module
 from pathlib import Path
 
-# By module as it was: the class then and now, and its attributes now and then.
+# By old module name: old class name -> (current class name, {current attribute: old attribute}).
 CLASSES = {
     "kelpjunction.placement": {
         "View": ("MachineView", {"release": "give_back", "on_write": "scratched", "fetching_images": "arriving"}),
@@ -31,26 +31,26 @@
     return property(lambda self: getattr(self, before), lambda self, value: setattr(self, before, value))
 
 
-def name_as_today() -> None:
-    """Add today's names where the sources that are imported have the earlier ones; nothing to do in today's."""
+def add_current_names() -> None:
+    """Add the current names to imported sources of an earlier revision; current sources are left as they are."""
     for module_name, classes in CLASSES.items():
         try:
             module = import_module(module_name)
         except ModuleNotFoundError:
-            continue  # the module is today's, or older than this list
+            continue  # the sources are current, or older than this list
         for before, (today, attributes) in classes.items():
             earlier = getattr(module, before, None)
             if earlier is None:
-                continue  # no such class yet, or no more
+                continue  # this revision does not have the class yet, or no longer has it
             setattr(module, today, earlier)
             source = import_module(earlier.__module__)
             for name, old in attributes.items():
-                # What objects alone have is not seen on the class; its module tells how it is spelled.
-                if not hasattr(earlier, name) and _spelled(source.__file__, old, name):
+                # The class does not show attributes that only instances have, so the module's text is searched.
+                if not hasattr(earlier, name) and _uses_old_name(source.__file__, old, name):
                     setattr(earlier, name, _alias(old))
 
 
-def _spelled(file: str, old: str, new: str) -> bool:
-    """Whether a module's text has the old name and not the new."""
+def _uses_old_name(file: str, old: str, new: str) -> bool:
+    """Whether a module's source contains the old name and not the new one."""
     words = set("".join(c if c.isalnum() or c == "_" else " " for c in Path(file).read_text(encoding="utf-8")).split())
     return old in words and new not in words
--- a/benchmarks/http_exchange.py
+++ b/benchmarks/http_exchange.py
@@ -1,8 +1,8 @@
-"""What an HTTP exchange costs this node beside gevent's handler as it comes: ratios in one run.
+"""Cost of an HTTP exchange in this node's handler, compared with gevent's stock handler in the same run.
 
     python benchmarks/http_exchange.py [--count N]
 
-One handler serves requests that wait in a socket pair, so that nothing but
+One handler serves requests that already wait in a socket pair, so that only
 the handler's work is timed (processor time, microseconds an exchange).
 """
 
@@ -21,7 +21,7 @@
 
 
 class StockHandler(WSGIHandler):
-    """The handler as it comes, without access log."""
+    """gevent's handler without the access log."""
 
     def log_request(self) -> None:
         pass
@@ -41,26 +41,26 @@
 
 
 def seconds_per_exchange(handler_class, body: bytes, count: int) -> float:
-    """Seconds of processor time an exchange takes."""
-    ours, theirs = gevent.socket.socketpair()
+    """Processor time of one exchange, in seconds."""
+    our_socket, client_socket = gevent.socket.socketpair()
     server = SimpleNamespace(application=application, get_environ=dict, log=None, loop=gevent.get_hub().loop)
-    handler = handler_class(ours, ("127.0.0.1", 1), server, rfile=ours.makefile("rb", -1))
-    one, spent = request(body), 0.0
+    handler = handler_class(our_socket, ("127.0.0.1", 1), server, rfile=our_socket.makefile("rb", -1))
+    request_bytes, spent = request(body), 0.0
     for _ in range(count // BATCH):
-        theirs.sendall(one * BATCH)
+        client_socket.sendall(request_bytes * BATCH)
         began = time.process_time()
         for _ in range(BATCH):
             assert handler.handle_one_request() is True
         spent += time.process_time() - began
-        theirs.settimeout(0.0)
+        client_socket.settimeout(0.0)
         while True:
             try:
-                theirs.recv(1 << 20)
+                client_socket.recv(1 << 20)
             except (TimeoutError, OSError):
                 break
-        theirs.settimeout(None)
-    ours.close()
-    theirs.close()
+        client_socket.settimeout(None)
+    our_socket.close()
+    client_socket.close()
     return spent / (count // BATCH * BATCH)
 
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger, measured: weeks of eight teams against the rig's own account, and what keeping it costs.
+"""The ledger: simulated weeks of eight teams compared with an independent account, and the costs of a ledger.
 
     python benchmarks/ledger.py weeks [--weeks 6] [--seeds 3] [--report FOLDER]
     python benchmarks/ledger.py costs
     python benchmarks/ledger.py forms docs/ledger-forms.svg
 
-`weeks` plays simulated weeks in parallel processes and exits with 1 unless the
-ledger's sums are the account's to the millisecond and every priority is the
-replay's to the bit.  `costs` gives ratios in one run, with the ledger on and
+`weeks` simulates weeks in parallel processes and exits with 1 unless the
+ledger's sums equal the account's to the millisecond and every priority equals
+the replay's to the bit.  `costs` gives ratios in one run, with the ledger on and
 off: a leader's round with 20,000 waiting jobs, a takeover at 1,000 teams, the
 replay of a year of 50 teams, the memory of a node.  `forms` draws the three
-forms of the factor and what they do to a heavy user.
+functions of the factor and their effect on a heavy user.
 """
 
 import os
@@ -50,7 +50,7 @@
     pass
 
 
-def _played(seed: int, weeks: float, day_speed: int, form: str) -> LedgerCheck:
+def _simulate(seed: int, weeks: float, day_speed: int, form: str) -> LedgerCheck:
     return LedgerSimulation(seed, timedelta(weeks=weeks), day_speed, form).play()
 
 
@@ -64,15 +64,15 @@
     """Play weeks of eight teams with kills, freezes and outages."""
     numbers = list(range(1, seeds + 1))
     with ProcessPoolExecutor(min(seeds, os.cpu_count() or 1)) as pool:
-        proofs = list(pool.map(_played, numbers, *([each] * seeds for each in (weeks, day_speed, form))))
-    for seed, proof in zip(numbers, proofs, strict=True):
-        hours = sum(a.cpus for a in proof.observed_usage.values()) / HOUR / 1000
+        checks = list(pool.map(_simulate, numbers, *([each] * seeds for each in (weeks, day_speed, form))))
+    for seed, check in zip(numbers, checks, strict=True):
+        hours = sum(a.cpus for a in check.observed_usage.values()) / HOUR / 1000
         click.echo(
-            f"seed {seed}: {'holds' if proof.passed else 'DOES NOT HOLD'}; {len(proof.books.entries)} entries, "
-            f"{proof.used} priorities, {proof.replayed.factors} factors replayed, {proof.starts} starts, "
-            f"{proof.faults} faults, {hours:.0f} CPU hours of {len(proof.observed_usage)} teams"
+            f"seed {seed}: {'holds' if check.passed else 'DOES NOT HOLD'}; {len(check.books.entries)} entries, "
+            f"{check.used} priorities, {check.replayed.factors} factors replayed, {check.starts} starts, "
+            f"{check.faults} faults, {hours:.0f} CPU hours of {len(check.observed_usage)} teams"
         )
-        for why in (proof.replayed.fault, *proof.wrong[:3], *proof.broken[:3]):
+        for why in (check.replayed.fault, *check.wrong[:3], *check.broken[:3]):
             if why:
                 click.echo(f"  {why}")
         if report is not None:
@@ -80,19 +80,19 @@
             from kelpjunction.ledger.report import html
 
             report.mkdir(parents=True, exist_ok=True)
-            archive.write(report / f"weeks-{seed}.parquet", proof.books.base, proof.books.entries)
-            again = archive.read(report / f"weeks-{seed}.parquet")
-            (report / f"weeks-{seed}.html").write_text(html(again, audit(again)))
-    sys.exit(0 if all(p.passed for p in proofs) else 1)
+            archive.write(report / f"weeks-{seed}.parquet", check.books.base, check.books.entries)
+            archived = archive.read(report / f"weeks-{seed}.parquet")
+            (report / f"weeks-{seed}.html").write_text(html(archived, audit(archived)))
+    sys.exit(0 if all(p.passed for p in checks) else 1)
 
 
 def _operators(enabled: bool) -> OperatorSettings:
-    usual = load_operator_settings(None)
-    return replace(usual, ledger=replace(usual.ledger, enabled=enabled, period=timedelta(seconds=2)))
+    defaults = load_operator_settings(None)
+    return replace(defaults, ledger=replace(defaults.ledger, enabled=enabled, period=timedelta(seconds=2)))
 
 
-def _round(enabled: bool) -> float:
-    """Milliseconds of a leader's round with 20 teams and 20,000 jobs that wait without room, after a change."""
+def _round_ms(enabled: bool) -> float:
+    """Milliseconds of a leader's round with 20 teams and 20,000 pending jobs that fit nowhere, after a change."""
     teams = tuple(Team(f"team-{n:02d}", 8.0, 0.0, None, None) for n in range(20))
     world = World(machines=30, capacity=30, teams=teams, operators=_operators(enabled))
     world.run(5)
@@ -114,8 +114,8 @@
     return statistics.median(took) * 1e3
 
 
-def _takeover() -> tuple[float, int]:
-    """Milliseconds of processor time to read the balances of 1,000 teams at the begin of a reign."""
+def _takeover_ms() -> tuple[float, int]:
+    """Milliseconds of processor time to read the balances of 1,000 teams at the start of a leader term."""
     teams = tuple(Team(f"team-{n:04d}", 1.0, 0.0, None, None) for n in range(1000))
     world = World(machines=3, teams=teams, operators=_operators(True))
     world.run(6)
@@ -124,18 +124,18 @@
         row = {"team": f"team-{n:04d}", "cpus": 2.0, "gpus": 0.0, "memory": 4.0, "ms": 1000 + n}
         leader.store.commit({}, {f"e/j-{n}": {"end": "done", "held": row}})
     world.run(150)
-    keeper, reign = leader.ledger_keeper, leader.leadership.leader_term
+    keeper, leader_term = leader.ledger_keeper, leader.leadership.leader_term
     took = []
     for _ in range(9):
         keeper.end()
         began = time.process_time()
-        keeper.begin(reign)
+        keeper.begin(leader_term)
         took.append(time.process_time() - began)
     return statistics.median(took) * 1e3, sum(k.startswith("u/page/") for k in world.store.data)
 
 
-def _year() -> tuple[float, int]:
-    """Seconds to replay a year of 50 teams with an entry an hour."""
+def _replay_of_year() -> tuple[float, int]:
+    """Seconds to replay a year of 50 teams with one entry an hour."""
     teams = {f"team-{n:02d}": Team(f"team-{n:02d}", 8.0, 0.0, None, None) for n in range(50)}
     policy = Policy.of(_operators(True).ledger, teams)
     entries, page = [settings_entry(1, "", 0, policy, "n term 1")], BalancePage(0, 0, {})
@@ -156,43 +156,43 @@
     return took, done.factors
 
 
-def _memory(enabled: bool) -> float:
-    """MB that a process with one node holds after its modules are loaded."""
+def _memory_mb(enabled: bool) -> float:
+    """Peak resident memory in MB of a process that has run a small simulated world."""
     world = World(machines=3, operators=_operators(enabled))
     world.run(20)
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-def _alone(function, *args):
+def _in_new_process(function, *args):
     with ProcessPoolExecutor(1) as pool:
         return pool.submit(function, *args).result()
 
 
 @main.command()
 def costs() -> None:
-    """Ratios in one run, with the ledger on and off."""
-    off, on = _alone(_round, False), _alone(_round, True)
+    """Measure the costs in one run, with the ledger on and off, and print their ratios."""
+    off, on = _in_new_process(_round_ms, False), _in_new_process(_round_ms, True)
     click.echo(f"leader's round, 20 teams, 20,000 waiting jobs: {off:.1f} ms off, {on:.1f} ms on, ratio {on / off:.2f}")
-    took, pages = _alone(_takeover)
+    took, pages = _in_new_process(_takeover_ms)
     click.echo(f"takeover at 1,000 teams: {took:.1f} ms of processor time, {pages} pages")
-    took, factors = _alone(_year)
+    took, factors = _in_new_process(_replay_of_year)
     click.echo(f"replay of a year of 50 teams, an entry an hour: {took:.1f} s, {factors} factors")
-    off, on = _alone(_memory, False), _alone(_memory, True)
+    off, on = _in_new_process(_memory_mb, False), _in_new_process(_memory_mb, True)
     click.echo(f"memory of a process with three nodes and the rig: {off:.1f} MB off, {on:.1f} MB on")
 
 
 @main.command()
 @click.argument("target", type=click.Path(dir_okay=False, path_type=Path))
 def forms(target: Path) -> None:
-    """Draw the forms of the factor: against usage, and over eight weeks of a heavy user."""
+    """Draw the functions of the factor: against usage, and over eight weeks of a heavy user."""
     import matplotlib as mpl
     from matplotlib.figure import Figure
 
     from kelpjunction.ledger.accounts import apply_charge
     from kelpjunction.ledger.decay import FACTOR_FUNCTIONS, FIXED_POINT_ONE, factor, steady_state_usage
 
-    usual, share = load_operator_settings(None).ledger, 8_000
-    half_life = usual.half_life // timedelta(milliseconds=1)
+    defaults, share = load_operator_settings(None).ledger, 8_000
+    half_life = defaults.half_life // timedelta(milliseconds=1)
     full = steady_state_usage(share, half_life)
     figure = Figure(figsize=(10, 3.8), layout="constrained")
     against, time_line = figure.subplots(1, 2)
@@ -205,11 +205,11 @@
             for x in range(200)
         ]
         against.plot([x / 20 for x in range(200)], values, label=name)
-        policy, faded, line = Policy.of(replace(usual, form=name), {}), 0, []
+        policy, decayed, line = Policy.of(replace(defaults, form=name), {}), 0, []
         for day in days:
             use = resource_time(96.0 if day < 28 else 0.0, 0.0, 0.0, 24 * HOUR)
-            row = apply_charge(faded, 24 * HOUR, use, share, policy)
-            faded = row.decayed_usage
+            row = apply_charge(decayed, 24 * HOUR, use, share, policy)
+            decayed = row.decayed_usage
             line.append(row.factor / FIXED_POINT_ONE)
         time_line.plot(days, line, label=name)
     for axes in (against, time_line):
--- a/benchmarks/node_calls.py
+++ b/benchmarks/node_calls.py
@@ -1,9 +1,10 @@
-"""What a node's work costs as the fleet grows: `python benchmarks/node_calls.py [--against REVISION]`.
+"""Cost of a node's calls as the fleet grows: `python benchmarks/node_calls.py [--against REVISION]`.
 
-Runs one world for each size on the stand-ins and times a node's calls, without
-HTTP, in microseconds of processor time.  With `--against`, the sources of an
-earlier revision are timed the same way, each size after the same size of
-today's, and the last columns are today's time as a share of theirs.
+Runs one simulated world for each size and times a node's calls, without HTTP,
+in microseconds of processor time.  With `--against`, the sources of an earlier
+revision are timed the same way, each size after the same size of the current
+sources, and the last columns are the earlier time and the ratio of the current
+time to it.
 """
 
 import subprocess
@@ -15,22 +16,22 @@
 
 import click
 import orjson
-from earlier_names import name_as_today
+from earlier_names import add_current_names
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = (120, 240, 700, 2000)
 
 
-def timed(call, times: int) -> float:
-    """Microseconds that one of `times` calls takes."""
+def microseconds_per_call(call, times: int) -> float:
+    """Mean processor time of `times` calls, in microseconds."""
     began = time.process_time()
     for _ in range(times):
         call()
     return (time.process_time() - began) / times * 1e6
 
 
-def filled(machines: int):
-    """A world with a service on each third machine and arrays on the rest of the room."""
+def filled_world(machines: int):
+    """Build a world with a service for every third machine and arrays on the remaining capacity."""
     from kelpjunction.lab.world import Team, World
 
     teams = (Team("red", 0.0, 0.0, None, None), Team("blue", 0.0, 0.0, None, None))
@@ -45,9 +46,9 @@
 
 
 def call_costs(world) -> dict[str, float]:
-    """The calls of one node in a world that is at work."""
+    """Time the calls of one node in a busy world, in microseconds."""
     leader = world.leader()
-    leader.leader_scheduler._dispatch_interval = timedelta()  # each of its rounds looks for room
+    leader.leader_scheduler._dispatch_interval = timedelta()  # every round looks for free capacity
     holder = next(n for n in world.nodes.values() if n is not leader and n.blocks.held_zones())
     worker = next(w for w, _ in world.cloud.machines.values() if w.zone in holder.blocks.held_zones() and w.tasks)
     report = worker.report()
@@ -61,17 +62,17 @@
     record = holder.mirror.get(key).value
     versions = iter(range(10**9, 10**9 + 1000))
     return {
-        "check-in": timed(check_in, 200),
-        "poll": timed(lambda: holder.intake.status(ref), 200),
-        "followed change": timed(lambda: holder.mirror.put(key, record, next(versions)), 200),
-        "holder's idle round": timed(holder.holder_scheduler.round, 50),
-        "leader's idle round": timed(leader.leader_scheduler.round, 50),
-        "waiting round": _with_waiting(world, leader),
+        "check-in": microseconds_per_call(check_in, 200),
+        "poll": microseconds_per_call(lambda: holder.intake.status(ref), 200),
+        "followed change": microseconds_per_call(lambda: holder.mirror.put(key, record, next(versions)), 200),
+        "holder's idle round": microseconds_per_call(holder.holder_scheduler.round, 50),
+        "leader's idle round": microseconds_per_call(leader.leader_scheduler.round, 50),
+        "waiting round": _waiting_round_cost(world, leader),
     }
 
 
-def _with_waiting(world, leader) -> float:
-    """A leader's round with twenty arrays that find no room anywhere, after a change of one machine's tasks."""
+def _waiting_round_cost(world, leader) -> float:
+    """Time a leader's round with twenty arrays that fit nowhere, after a change of one machine's tasks."""
     for n in range(20):
         world.submit(f"j-3{n:05d}", 20, node=leader.platform.node, run_s=1e6, cpus=8.0, ram_gb=30.0)
     for _ in range(3):
@@ -86,11 +87,11 @@
         leader.mirror.put(key, record, next(versions))
         leader.leader_scheduler.round()
 
-    return timed(changed_round, 20)
+    return microseconds_per_call(changed_round, 20)
 
 
-def measured(root: Path, size: int) -> dict[str, float]:
-    """The costs with the sources below `root`, in a process of their own."""
+def measure_revision(root: Path, size: int) -> dict[str, float]:
+    """Measure the sources under `root` in a separate process."""
     command = [sys.executable, __file__, "--only", str(size), "--root", str(root)]
     return orjson.loads(subprocess.run(command, check=True, capture_output=True, cwd=root).stdout)
 
@@ -102,13 +103,13 @@
 def main(against: str | None, only: int | None, root: Path) -> None:
     """Time a node's calls at several sizes of fleet."""
     if only is not None:
-        # The same stand-ins for both, those of today.
+        # Both revisions run on the current simulation.
         sys.path[:0] = [str(root)]
         import kelpjunction
 
         kelpjunction.__path__.append(str(ROOT / "kelpjunction"))
-        name_as_today()
-        sys.stdout.buffer.write(orjson.dumps(call_costs(filled(only))))
+        add_current_names()
+        sys.stdout.buffer.write(orjson.dumps(call_costs(filled_world(only))))
         return
     with tempfile.TemporaryDirectory() as folder:
         old = Path(folder) / "old"
@@ -117,8 +118,8 @@
             archive = subprocess.run(["git", "archive", against], cwd=ROOT, check=True, capture_output=True).stdout
             subprocess.run(["tar", "-x", "-C", str(old)], input=archive, check=True)
         for size in SIZES:
-            now = measured(ROOT, size)
-            before = measured(old, size) if against else {}
+            now = measure_revision(ROOT, size)
+            before = measure_revision(old, size) if against else {}
             click.echo(f"{size} machines")
             for name, value in now.items():
                 beside = f"   {before[name]:9.0f} before   {value / before[name]:5.2f}" if before else ""
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,10 +1,10 @@
-"""What choosing machines costs as the fleet grows: `python benchmarks/placement.py [--against REVISION]`.
+"""Cost of placement as the fleet grows: `python benchmarks/placement.py [--against REVISION]`.
 
-Times placement on fleets of one machine type with tasks of several sizes on
-them, and a leader's rounds on the stand-ins, in milliseconds of processor
+Times placement on fleets of one machine type that run tasks of several sizes,
+and a leader's rounds in the simulated world, in milliseconds of processor
 time.  With `--against`, an earlier revision is timed the same way.  The last
-line is what a job of nine tasks costs on the largest fleet, as a multiple of
-what it costs on the smallest.
+line is the cost of a job of nine tasks on the largest fleet divided by its cost
+on the smallest.
 """
 
 import random
@@ -19,18 +19,21 @@
 
 import click
 import orjson
-from earlier_names import name_as_today
+from earlier_names import add_current_names
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = (500, 1000, 2125, 8500)
 ROUND_SIZES = (500, 1000, 2125)
-NINE = ("service of nine", "array of nine")
+JOBS_OF_NINE = ("service of nine", "array of nine")
 REPEATS = 100
 TASK_SIZES = ((1.0, 2.0), (1.0, 4.0), (2.0, 4.0), (2.0, 8.0), (4.0, 8.0))  # CPUs, GB
 
 
-def milliseconds(call: Callable[[], object], repeats: int) -> float:
-    """Processor time of one of some calls; `call` undoes what it did.  The first call, which files all, is left out."""
+def milliseconds_per_call(call: Callable[[], object], repeats: int) -> float:
+    """Mean processor time of `repeats` calls; `call` must undo its own effect.
+
+    One call before them is not timed, because it files all machines in the index.
+    """
     call()
     began = time.process_time()
     for _ in range(repeats):
@@ -39,7 +42,7 @@
 
 
 def spec(shape: str, tasks: int, cpus: float = 1.0, memory: float = 2.0, **fields):
-    """A job."""
+    """Return a job's specification."""
     from kelpjunction.wire.users import parse_job
 
     return parse_job(
@@ -53,19 +56,19 @@
 
 
 def fleet(machines: int):
-    """Views of a fleet in three zones; on nine of ten machines tasks of several sizes leave a little room."""
+    """Views of a fleet in three zones; nine of ten machines run tasks and have little free capacity."""
     from kelpjunction.placement import MachineView
     from kelpjunction.wire.messages import MachineType
 
-    source = random.Random(machines)
+    random_source = random.Random(machines)
     type_ = MachineType("box", 16, 0, 64, 40, 1.0, 1.0, 0.4, timedelta(seconds=30), ("a", "b", "c"))
     views = []
     for number in range(machines):
         view = MachineView(f"n-{number:06}", type_, "abc"[number % 3], False, 16.0, 0.0, 64.0)
-        view.images = {f"img-{source.randrange(20)}" for _ in range(4)}
+        view.images = {f"img-{random_source.randrange(20)}" for _ in range(4)}
         if number % 10:
-            while view.cpus > source.choice((0, 1, 2, 3)):
-                cpus, memory = source.choice(TASK_SIZES)
+            while view.cpus > random_source.choice((0, 1, 2, 3)):
+                cpus, memory = random_source.choice(TASK_SIZES)
                 if view.cpus < cpus or view.memory < memory:
                     break
                 view.cpus, view.memory, view.tasks = view.cpus - cpus, view.memory - memory, view.tasks + 1
@@ -74,7 +77,7 @@
 
 
 def selection_and_undo(views: list):
-    """What a job's machines are chosen from, and how to undo a choice."""
+    """Return the candidate machines for a job, and the function that marks a machine as changed after an undo."""
     try:
         from kelpjunction.placement import FreeCapacityIndex
     except ImportError:
@@ -85,8 +88,8 @@
     return room.select_all(), room.mark_dirty
 
 
-def placed(views: list) -> dict[str, float]:
-    """What one job costs, choosing and giving back."""
+def placement_costs(views: list) -> dict[str, float]:
+    """Time the placement and release of one job, in milliseconds by kind of job."""
     from kelpjunction.placement import place, place_gang
 
     choose_from, mark = selection_and_undo(views)
@@ -97,45 +100,45 @@
             view.fetching_images.clear()
             mark(view.name)
 
-    def one(job) -> Callable[[], None]:
+    def timed_placement(job) -> Callable[[], None]:
         return lambda: undo(job, place(job, job.tasks, choose_from, Counter(), Counter()))
 
     gang = spec("ensemble", 512)
     return {
-        "service of nine": milliseconds(one(spec("service", 9)), REPEATS),
-        "array of nine": milliseconds(one(spec("batch", 9)), REPEATS),
-        "gang of 512": milliseconds(lambda: undo(gang, place_gang(gang, choose_from) or []), 3),
+        "service of nine": milliseconds_per_call(timed_placement(spec("service", 9)), REPEATS),
+        "array of nine": milliseconds_per_call(timed_placement(spec("batch", 9)), REPEATS),
+        "gang of 512": milliseconds_per_call(lambda: undo(gang, place_gang(gang, choose_from) or []), 3),
     }
 
 
 def rounds(machines: int) -> dict[str, float]:
-    """What a leader's rounds cost: a hundred services that come at once, and a hundred handed jobs with one change."""
+    """Time a leader's rounds: with 100 services that arrive at once, and with 100 dispatched jobs and a change."""
     from kelpjunction.lab.world import Team, World
 
     teams = (Team("red", 0.0, 0.0, None, None), Team("blue", 2.0, 0.0, 2.0, None))
     world = World(machines=machines, capacity=machines, teams=teams)
     world.run(4)
     leader = world.leader()
-    leader.leader_scheduler._dispatch_interval = timedelta()  # each of its rounds looks for room
+    leader.leader_scheduler._dispatch_interval = timedelta()  # every round looks for free capacity
     world.submit("j-300000", node=leader.platform.node, shape="service", urgency="prod", run_s=1e6)
-    world.run(2)  # the views are made
+    world.run(2)  # this builds the machine views
     for number in range(100):
         world.submit(f"j-1{number:05}", 3, node=leader.platform.node, shape="service", urgency="prod", run_s=1e6)
     leader.watch_store()
     began = time.process_time()
     leader.leader_scheduler.round()
     burst = (time.process_time() - began) * 1e3
-    for _ in range(10):  # the budget refills while time passes; nobody starts what is handed over
+    for _ in range(10):  # the rate limiter's budget refills meanwhile; dispatched jobs are not started
         world.clock.now += timedelta(seconds=0.5)
         leader.leadership.run_once()
         leader.watch_store()
         leader.leader_scheduler.round()
     assert len(leader.job_index.dispatched_jobs) >= 100, (
-        f"{len(leader.job_index.dispatched_jobs)} services are handed over"
+        f"{len(leader.job_index.dispatched_jobs)} services are dispatched"
     )
     key = next(key for key in world.store.data if key.startswith("l/machine/"))
     record, versions = leader.mirror.get(key).value, iter(range(10**9, 10**9 + 100))
-    # One more job waits, which its team's limit keeps waiting, so that each round looks.
+    # Its team's limit keeps one more job pending, so that every round looks for free capacity.
     world.submit("j-200000", node=leader.platform.node, crew="blue", run_s=1e6)
     world.submit("j-200001", node=leader.platform.node, crew="blue", run_s=1e6)
     for _ in range(3):
@@ -143,24 +146,24 @@
         leader.leadership.run_once()
         leader.watch_store()
         leader.leader_scheduler.round()
-    assert leader.job_index.pending_jobs, "a job waits"
+    assert leader.job_index.pending_jobs, "no job is pending"
 
     def changed_round() -> None:
         leader.mirror.put(key, record, next(versions))
         leader.leader_scheduler.round()
 
     changed_round()
-    return {"round, 100 new services": burst, "round, 100 handed jobs": milliseconds(changed_round, 10)}
+    return {"round, 100 new services": burst, "round, 100 handed jobs": milliseconds_per_call(changed_round, 10)}
 
 
 def figures() -> Iterator[tuple[int, dict[str, float]]]:
-    name_as_today()
+    add_current_names()
     for size in SIZES:
-        yield size, placed(fleet(size)) | (rounds(size) if size in ROUND_SIZES else {})
+        yield size, placement_costs(fleet(size)) | (rounds(size) if size in ROUND_SIZES else {})
 
 
-def earlier(revision: str) -> dict[str, dict[str, float]]:
-    """The same of an earlier revision's sources, with its own stand-ins."""
+def measure_earlier_revision(revision: str) -> dict[str, dict[str, float]]:
+    """Measure an earlier revision's sources, on that revision's own simulation."""
     with tempfile.TemporaryDirectory() as folder:
         archive = subprocess.run(
             ["git", "archive", revision, "kelpjunction"], cwd=ROOT, check=True, capture_output=True
@@ -180,14 +183,14 @@
     if as_json:
         sys.stdout.write(orjson.dumps({str(size): costs for size, costs in today.items()}).decode())
         return
-    before = earlier(against) if against else {}
+    before = measure_earlier_revision(against) if against else {}
     for size, costs in today.items():
         click.echo(f"{size} machines, ms")
         for name, value in costs.items():
             then = before.get(str(size), {}).get(name)
             beside = "" if then is None else f"   {then:9.2f} before   {value / then:6.3f}"
             click.echo(f"  {name:26} {value:9.3f}{beside}")
-    nine = [sum(today[size][name] for name in NINE) for size in (SIZES[-1], SIZES[0])]
+    nine = [sum(today[size][name] for name in JOBS_OF_NINE) for size in (SIZES[-1], SIZES[0])]
     click.echo(f"{SIZES[-1]}/{SIZES[0]}: {nine[0] / nine[1]:.2f}")
 
 
--- a/benchmarks/store_changes.py
+++ b/benchmarks/store_changes.py
@@ -1,10 +1,11 @@
-"""What work costs the state service: `python benchmarks/store_changes.py [--against REVISION]`.
-
-Plays a minute of services, arrays and gangs on the stand-ins at a tenth, one
-and ten times a fleet, in proportion to it, with a service that refuses nothing,
-and prints the changes, requests and bytes for each started task and each
-machine rented, by kind of record.  With `--against`, an earlier revision plays
-the same, and the last columns are today's counts as a share of theirs.
+"""Load on the state service per unit of work: `python benchmarks/store_changes.py [--against REVISION]`.
+
+Runs a minute of services, arrays and gangs in the simulated world at a tenth, one
+and ten times a fleet, with work in proportion to it and a state service that
+refuses no request.  Prints the changes, requests and bytes for each started
+task and each rented machine, by kind of record.  With `--against`, an earlier
+revision runs the same work, and the last columns are its counts and the ratio
+of the current counts to them.
 """
 
 import subprocess
@@ -21,8 +22,8 @@
 SECONDS = 60
 
 
-def played(machines: int) -> dict[str, float]:
-    """Counts of one world at this size."""
+def count_changes(machines: int) -> dict[str, float]:
+    """Run one world of this size and return its counts."""
     from kelpjunction.lab.world import Team, World
 
     teams = (Team("red", 0.0, 0.0, None, None), Team("blue", 0.0, 0.0, None, None))
@@ -30,7 +31,7 @@
     counts: Counter = Counter()
     handle = world.store.handle
 
-    def counting(method: str, path: str, body: dict):
+    def counted_handle(method: str, path: str, body: dict):
         reply = handle(method, path, body)
         counts["requests"] += 1
         counts["bytes"] += len(orjson.dumps(body)) if body else 0
@@ -42,15 +43,15 @@
         return reply
 
     rented: set[str] = set()
-    serve = world.cloud.handle
+    handle_cloud = world.cloud.handle
 
-    def noting(method: str, path: str, body: dict):
-        reply = serve(method, path, body)
+    def recorded_handle(method: str, path: str, body: dict):
+        reply = handle_cloud(method, path, body)
         if path == "/rentals" and method == "POST" and reply.status == 200:
             rented.update(reply.fields["holdfasts"])
         return reply
 
-    world.store.handle, world.cloud.handle = counting, noting
+    world.store.handle, world.cloud.handle = counted_handle, recorded_handle
     world.run(5)
     number = 0
     every = max(1, 240 // machines)
@@ -71,7 +72,7 @@
 
 
 def measure() -> dict[str, dict[str, float]]:
-    return {str(machines): played(machines) for machines in SIZES}
+    return {str(machines): count_changes(machines) for machines in SIZES}
 
 
 @click.command()
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -1,11 +1,12 @@
-"""Tickets: the mixed run, acceptance beside native submissions, memory, and the cost of driving many.
+"""Cost of tickets: a mixed run, acceptance compared with native submission, memory, and driving many tickets.
 
     python benchmarks/tickets.py mixed --tickets 1000 --seed 11
     python benchmarks/tickets.py accept
     python benchmarks/tickets.py memory
     python benchmarks/tickets.py drive --tickets 10000
 
-All of it runs against the stand-ins on a simulated clock; what is compared ran in the same process, in turns.
+All commands run in the simulated world on a simulated clock.  Measurements that are compared ran in the same process,
+in turns.
 """
 
 import subprocess
@@ -32,7 +33,7 @@
 @click.option("--seconds", default=1800.0, show_default=True, help="Of simulated time, in which they are submitted.")
 @click.option("--seed", default=11, show_default=True)
 def mixed(tickets: int, seconds: float, seed: int) -> None:
-    """So many tickets beside as many native jobs, through kills and outages; exit code 1 if anything is wrong."""
+    """Run tickets and as many native jobs through kills and outages; exit code 1 if anything is wrong."""
     began = time.perf_counter()
     verdict = TicketSimulation(seed, tickets, seconds).play()
     ends = ", ".join(f"{count} {end}" for end, count in sorted(verdict.ends.items()))
@@ -45,7 +46,7 @@
     sys.exit(0 if verdict.passed else 1)
 
 
-def _timed(act: Callable[[], None]) -> float:
+def _processor_seconds(act: Callable[[], None]) -> float:
     began = time.process_time()
     act()
     return time.process_time() - began
@@ -55,7 +56,7 @@
 @click.option("--count", default=300, show_default=True, help="Tickets of each kind.")
 @click.option("--one-template", is_flag=True, help="All tickets of a kind have the same template.")
 def accept(count: int, one_template: bool) -> None:
-    """Processor time of accepting tickets, beside native submissions of the same jobs."""
+    """Compare the processor time of accepting tickets with that of submitting the same jobs natively."""
     from kelpjunction.tickets import job_template
 
     for kind, steps in (("single", 1), ("chain", 3), ("diamond", 4), ("long", 30)):
@@ -68,17 +69,17 @@
         bodies = [orjson.dumps(f) for f in fields]
         changes: list[str] = []
         world.store.on_set = lambda key, value, changes=changes: changes.append(key)
-        taken = _timed(lambda desk=desk, bodies=bodies: [desk.submit(body) for body in bodies])
+        taken = _processor_seconds(lambda desk=desk, bodies=bodies: [desk.submit(body) for body in bodies])
         per_ticket = len(changes) / count
         natives = []
         for number in range(count):
             fields = ticket(kind, "once", number)
             read = job_template.resolve(fields["template"], {})
-            made = plan.build_plan(
+            planned = plan.build_plan(
                 f"native-{number}", *read, plan.SubmissionOptions("farm", klass="once", image="img", image_gb=1.0)
             )
-            natives += [orjson.dumps(job[2]) for job in made.record()["jobs"]]
-        native = _timed(lambda intake=intake, natives=natives: [intake.submit(body) for body in natives])
+            natives += [orjson.dumps(job[2]) for job in planned.record()["jobs"]]
+        native = _processor_seconds(lambda intake=intake, natives=natives: [intake.submit(body) for body in natives])
         click.echo(
             f"{kind}: {count / taken:.0f} tickets/s, the same as native jobs {count / native:.0f}/s: ratio"
             f" {native / taken:.2f}; {per_ticket:.1f} changes a ticket instead of {steps}"
@@ -87,23 +88,25 @@
 
 @main.command()
 def memory() -> None:
-    """Resident memory and processor time after the imports of a node, and of a gateway."""
-    tell = "import resource, time; r = resource.getrusage(resource.RUSAGE_SELF)"
-    tell += "; print(f'{r.ru_maxrss / 1024:.0f} MB, {time.process_time():.2f} s of processor time')"
+    """Print resident memory and processor time after the imports of a node and of a gateway."""
+    usage_code = "import resource, time; r = resource.getrusage(resource.RUSAGE_SELF)"
+    usage_code += "; print(f'{r.ru_maxrss / 1024:.0f} MB, {time.process_time():.2f} s of processor time')"
     gateway = "import kelpjunction.tickets.gateway"
     for what, imports in (
         ("node", "import kelpjunction.daemon"),
         ("gateway", gateway),
         ("gateway that has read a ticket", f"{gateway}, kelpjunction.tickets.job_template"),
     ):
-        done = subprocess.run([sys.executable, "-c", f"{imports}; {tell}"], capture_output=True, text=True, check=True)
+        done = subprocess.run(
+            [sys.executable, "-c", f"{imports}; {usage_code}"], capture_output=True, text=True, check=True
+        )
         click.echo(f"{what}: {done.stdout.strip()}")
 
 
 @main.command()
 @click.option("--tickets", default=10_000, show_default=True, help="Chains of three, each with its second step sent.")
 def drive(tickets: int) -> None:
-    """A step of the gateway that drives, by how many runs changed."""
+    """Time a reconcile pass of the driving gateway by the number of changed runs."""
     world = TicketWorld(gateways=0, machines=3, capacity=3, teams=TEAMS)
     world.run(6)
     now = world.clock.utc()
@@ -112,27 +115,31 @@
     refs = []
     for number in range(tickets):
         run = f"t-{number}.1"
-        made = plan.build_plan(job_ref_seed(run, ""), "half done", steps, plan.SubmissionOptions("farm"))
-        course = TicketProgress("once", "farm", now, states, encode_plan(made), "")
-        world.store.handle("POST", "/commit", _commit(TICKET_PREFIX + run, course.record()))
-        spec = made.record()["jobs"][1][2]
+        planned = plan.build_plan(job_ref_seed(run, ""), "half done", steps, plan.SubmissionOptions("farm"))
+        progress = TicketProgress("once", "farm", now, states, encode_plan(planned), "")
+        world.store.handle("POST", "/commit", _commit(TICKET_PREFIX + run, progress.record()))
+        spec = planned.record()["jobs"][1][2]
         refs.append(spec["ref"])
         world.store.handle("POST", "/commit", _commit(f"l/job/{spec['ref']}", {"spec": spec, "at": now.timestamp()}))
     gateway = world.start_gateway("gate-0")
-    loaded = _timed(lambda: [gateway.follow(mirror) for mirror in (gateway.jobs, gateway.tickets)])
+    loaded = _processor_seconds(lambda: [gateway.follow(mirror) for mirror in (gateway.jobs, gateway.tickets)])
     gateway.leadership.run_once()
     gateway.leadership.run_once()
-    took = _timed(lambda: [None for _ in iter(gateway.reconcile, False)])
-    click.echo(f"{tickets} tickets half done: read in {loaded:.2f} s, all looked at on taking over in {took:.2f} s")
+    takeover_s = _processor_seconds(lambda: [None for _ in iter(gateway.reconcile, False)])
+    click.echo(
+        f"{tickets} tickets half done: read in {loaded:.2f} s, all looked at on taking over in {takeover_s:.2f} s"
+    )
     for changed in (0, 1, 10, 100):
         for ref in refs[:changed]:
             world.store.handle("POST", "/commit", {"guards": [], "then": [{"delete": f"l/job/{ref}"}]})
             world.store.handle("POST", "/commit", _commit(f"e/{ref}", {"end": "done"}))
         refs = refs[changed:]
         gateway.follow(gateway.jobs)
-        looked = gateway.reconciler.runs_examined
-        step = _timed(gateway.reconcile)
-        click.echo(f"{changed} changed: {1000 * step:.2f} ms, {gateway.reconciler.runs_examined - looked} looked at")
+        examined_before = gateway.reconciler.runs_examined
+        step = _processor_seconds(gateway.reconcile)
+        click.echo(
+            f"{changed} changed: {1000 * step:.2f} ms, {gateway.reconciler.runs_examined - examined_before} looked at"
+        )
         gateway.follow(gateway.jobs)
         gateway.follow(gateway.tickets)
         gateway.reconcile()
