--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -56,7 +56,7 @@
 
 
 def fleet(machines: int):
-    """Views of a fleet in three zones; nine of ten machines run tasks and have little free capacity."""
+    """Views of a fleet in three zones; nine of ten run tasks of several sizes and have little free capacity."""
     from kelpjunction.placement import MachineView
     from kelpjunction.wire.messages import MachineType
 
--- a/tests/test_ticket_planning.py
+++ b/tests/test_ticket_planning.py
@@ -1,4 +1,4 @@
-"""Planning of job tickets: which jobs and tasks a ticket becomes, and how faults are reported.
+"""Planning of render-farm job tickets: which jobs and tasks a ticket becomes, and how faults are reported.
 
 A ticket with any fault is refused as a whole, and each fault is reported with its path.
 """
