--- a/kelpjunction/lab/scale/checker.py
+++ b/kelpjunction/lab/scale/checker.py
@@ -1,8 +1,8 @@
-"""PROTOCOL's rules, judged from what processes tell and what users are answered, in the order of time.
+"""Checks PROTOCOL's rules on the events of the worker processes and the answers to users, in order of time.
 
-What the processes tell comes a few milliseconds late and from several of
-them, so nothing is judged before every process has told all that came before
-it.
+Events arrive a few milliseconds late and from several processes.  An event or
+answer is therefore checked only when every process has sent all its events up
+to that time.
 """
 
 import heapq
@@ -20,23 +20,23 @@
 )
 from kelpjunction.lab.scale.messages import EventKind, TaskEvent
 
-MOST_NAMED = 200  # broken rules that are kept word for word
+MAX_VIOLATIONS = 200  # how many violations are kept; later ones are dropped
 
 
 class Machine:
-    """A machine's zone, and the tasks on it."""
+    """A machine's zone and kind, and the tasks on it."""
 
     def __init__(self, zone: str, spot: bool) -> None:
         self.zone = zone
         self.spot = spot
-        self.fronds: Counter[str] = Counter()
+        self.tasks: Counter[str] = Counter()
 
 
 class Checker:
-    """What stands where, what users were told, and which rules that broke.
+    """Tracks tasks on machines and answers to users, and collects the rules that were broken.
 
-    `cancel_s` is how long a task may go on after its user was told of the
-    cancellation.
+    `limits` holds each team's limit of CPUs, or None.  `cancel_s` is how many
+    seconds a task may still run after its user was told of the cancellation.
     """
 
     def __init__(self, limits: dict[str, float | None], cancel_s: float) -> None:
@@ -44,133 +44,133 @@
         self._cancel_s = cancel_s
         self._machines: dict[str, Machine] = {}
         self._jobs: dict[str, dict] = {}
-        self._on: dict[str, list[PlacedTask]] = {}  # by job
-        self._used: Counter[str] = Counter()  # CPUs, by team
+        self._placed_tasks: dict[str, list[PlacedTask]] = {}  # tasks on machines, by job
+        self._cpus_used: Counter[str] = Counter()  # CPUs, by team
         self._finished: dict[str, set[str]] = {}
         self._asked_to_cancel: set[str] = set()
-        self._told: dict[str, str] = {}
-        self._told_cancelled: dict[str, float] = {}
-        self._overrun: set[str] = set()  # cancelled jobs that went on for too long, each named once
+        self._last_states: dict[str, str] = {}
+        self._told_cancelled_at: dict[str, float] = {}
+        self._overdue_jobs: set[str] = set()  # cancelled jobs that ran for too long; each is listed only once
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = count()
-        self._upto: dict[str, float] = {}
+        self._queue_numbers = count()
+        self._sent_upto: dict[str, float] = {}
         self.broken: list[str] = []
         self.starts = 0
         self.running = 0
         self.on_start: Callable[[str, float], None] = lambda ref, at: None
 
-    # -- what is told, at the time it happened -----------------------------------
+    # -- events and answers, with the time at which they happened -----------------
 
     def process_began(self, name: str, at: float) -> None:
-        """A process tells events from now on; nothing later is judged until it has told them."""
-        self._upto[name] = at
+        """Expect events of a process from now on; nothing later than `at` is checked until it has sent them."""
+        self._sent_upto[name] = at
 
     def told_upto(self, name: str, upto: float, events: list[TaskEvent]) -> None:
-        """A process has told all its events up to a time."""
+        """Take in the events of a process, which has now sent all its events up to `upto`."""
         for event in events:
-            self._later(event.at, lambda event=event: self._happened(event))
-        self._upto[name] = upto
-        self._judge()
+            self._enqueue(event.at, lambda event=event: self._on_event(event))
+        self._sent_upto[name] = upto
+        self._check_due()
 
     def machine_added(self, name: str, zone: str, spot: bool) -> None:
         self._machines[name] = Machine(zone, spot)
 
     def submitted(self, job: dict) -> None:
-        """A user is about to submit a job for the first time."""
+        """Register a job that its user is about to submit for the first time."""
         self._jobs[job["ref"]] = job
 
     def asked_to_cancel(self, ref: str) -> None:
         self._asked_to_cancel.add(ref)
 
     def answered(self, at: float, ref: str, status: int, state: str | None) -> None:
-        """A user was answered about a job."""
-        self._later(at, lambda: self._answer(at, ref, status, state))
+        """Take in an answer to a user about a job: its HTTP status, and the job's state or None."""
+        self._enqueue(at, lambda: self._on_answer(at, ref, status, state))
 
-    def _later(self, at: float, judge: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (at, next(self._number), judge))
+    def _enqueue(self, at: float, check: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._queue_numbers), check))
 
-    def _judge(self) -> None:
-        upto = min(self._upto.values())
+    def _check_due(self) -> None:
+        upto = min(self._sent_upto.values())
         while self._queue and self._queue[0][0] <= upto:
             heapq.heappop(self._queue)[2]()
 
-    # -- judging -------------------------------------------------------------------
+    # -- checking ------------------------------------------------------------------
 
-    def _break(self, violations: list[str]) -> None:
-        self.broken += violations[: max(0, MOST_NAMED - len(self.broken))]
+    def _add_violations(self, violations: list[str]) -> None:
+        self.broken += violations[: max(0, MAX_VIOLATIONS - len(self.broken))]
 
-    def _happened(self, event: TaskEvent) -> None:
+    def _on_event(self, event: TaskEvent) -> None:
         if event.kind is EventKind.STARTED:
-            self._started(event)
+            self._on_task_start(event)
         elif event.kind is EventKind.EXITED:
-            self._left(event.machine, event.frond)
+            self._on_task_left(event.machine, event.frond)
             if event.cause == "done":
-                self._finished.setdefault(_ref(event.frond), set()).add(event.frond)
+                self._finished.setdefault(_job_ref(event.frond), set()).add(event.frond)
         else:
-            for frond in list(self._machines[event.machine].fronds.elements()):
-                self._left(event.machine, frond)
+            for task_id in list(self._machines[event.machine].tasks.elements()):
+                self._on_task_left(event.machine, task_id)
 
-    def _started(self, event: TaskEvent) -> None:
-        ref, machine = _ref(event.frond), self._machines[event.machine]
+    def _on_task_start(self, event: TaskEvent) -> None:
+        ref, machine = _job_ref(event.frond), self._machines[event.machine]
         job = self._jobs[ref]
-        there = PlacedTask(event.frond, event.machine, machine.zone)
-        mates = self._on.setdefault(ref, [])
-        self._break(start_violations(job, there, machine.spot, mates))
-        self._break(quota_violations(job, self._used[job["crew"]], self._limits[job["crew"]]))
-        if event.at - self._told_cancelled.get(ref, event.at) > self._cancel_s:
-            self._break([f"ran_cancelled: {event.frond} started"])
-        mates.append(there)
-        machine.fronds[event.frond] += 1
-        self._used[job["crew"]] += job["cpus"]
+        placed = PlacedTask(event.frond, event.machine, machine.zone)
+        job_tasks = self._placed_tasks.setdefault(ref, [])
+        self._add_violations(start_violations(job, placed, machine.spot, job_tasks))
+        self._add_violations(quota_violations(job, self._cpus_used[job["crew"]], self._limits[job["crew"]]))
+        if event.at - self._told_cancelled_at.get(ref, event.at) > self._cancel_s:
+            self._add_violations([f"ran_cancelled: {event.frond} started"])
+        job_tasks.append(placed)
+        machine.tasks[event.frond] += 1
+        self._cpus_used[job["crew"]] += job["cpus"]
         self.starts += 1
         self.running += 1
         self.on_start(ref, event.at)
 
-    def _left(self, machine: str, frond: str) -> None:
-        fronds, ref = self._machines[machine].fronds, _ref(frond)
-        if not fronds[frond]:
+    def _on_task_left(self, machine: str, task_id: str) -> None:
+        tasks, ref = self._machines[machine].tasks, _job_ref(task_id)
+        if not tasks[task_id]:
             return
-        fronds[frond] -= 1
-        if not fronds[frond]:
-            del fronds[frond]
-        mates = self._on[ref]
-        mates.remove(next(mate for mate in mates if mate.frond == frond and mate.machine == machine))
-        self._used[self._jobs[ref]["crew"]] -= self._jobs[ref]["cpus"]
+        tasks[task_id] -= 1
+        if not tasks[task_id]:
+            del tasks[task_id]
+        job_tasks = self._placed_tasks[ref]
+        job_tasks.remove(next(other for other in job_tasks if other.frond == task_id and other.machine == machine))
+        self._cpus_used[self._jobs[ref]["crew"]] -= self._jobs[ref]["cpus"]
         self.running -= 1
 
-    def _answer(self, at: float, ref: str, status: int, state: str | None) -> None:
-        if status == 404 and ref in self._told:
-            self._break([f"forgotten: {ref}"])
-        if status in (400, 422) and ref in self._told:
-            self._break([f"forgotten: {ref} was accepted and is refused now"])
+    def _on_answer(self, at: float, ref: str, status: int, state: str | None) -> None:
+        if status == 404 and ref in self._last_states:
+            self._add_violations([f"forgotten: {ref}"])
+        if status in (400, 422) and ref in self._last_states:
+            self._add_violations([f"forgotten: {ref} was accepted and is refused now"])
         if state is None:
             return
         if ref not in self._jobs:
-            self._break([f"invented: {ref}"])
+            self._add_violations([f"invented: {ref}"])
             return
-        self._break(answer_violations(ref, state, self._told.get(ref), ref in self._asked_to_cancel))
+        self._add_violations(answer_violations(ref, state, self._last_states.get(ref), ref in self._asked_to_cancel))
         if state == DONE and self._jobs[ref]["shape"] != "ensemble":
             missing = self._jobs[ref]["fronds"] - len(self._finished.get(ref, ()))
             if missing:
-                self._break([f"not_done: {ref} lacks {missing} tasks"])
+                self._add_violations([f"not_done: {ref} lacks {missing} tasks"])
         if state == CANCELLED:
-            self._told_cancelled.setdefault(ref, at)
-        self._told[ref] = state
+            self._told_cancelled_at.setdefault(ref, at)
+        self._last_states[ref] = state
 
     def check_cancelled(self, now: float) -> None:
-        """Look for tasks of jobs that were cancelled too long ago."""
-        upto = min(self._upto.values(), default=now)
-        for ref, told in self._told_cancelled.items():
-            if upto - told > self._cancel_s and self._on.get(ref) and ref not in self._overrun:
-                self._overrun.add(ref)
-                self._break([f"ran_cancelled: {ref} is still on {self._on[ref][0].machine}"])
+        """Find jobs whose tasks still run more than `cancel_s` after the user was told of the cancellation."""
+        upto = min(self._sent_upto.values(), default=now)
+        for ref, told in self._told_cancelled_at.items():
+            if upto - told > self._cancel_s and self._placed_tasks.get(ref) and ref not in self._overdue_jobs:
+                self._overdue_jobs.add(ref)
+                self._add_violations([f"ran_cancelled: {ref} is still on {self._placed_tasks[ref][0].machine}"])
 
     # -- at the end ------------------------------------------------------------------
 
     def unfinished_jobs(self) -> list[str]:
-        """Jobs that were accepted and whose last answer is neither done nor cancelled."""
-        return [ref for ref, state in self._told.items() if state not in (DONE, CANCELLED)]
+        """The accepted jobs whose last answer is neither done nor cancelled."""
+        return [ref for ref, state in self._last_states.items() if state not in (DONE, CANCELLED)]
 
 
-def _ref(frond: str) -> str:
-    return frond.partition("/")[0]
+def _job_ref(task_id: str) -> str:
+    return task_id.partition("/")[0]
--- a/kelpjunction/lab/scale/messages.py
+++ b/kelpjunction/lab/scale/messages.py
@@ -1,28 +1,28 @@
-"""What the run and its processes say to each other: one JSON object a line, on standard input and output."""
+"""Messages between the run and its processes: one JSON object per line, on standard input and output."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class ProcessCommand(StrEnum):
-    """What the run tells a process of hollow workers."""
+    """A command of the run to a process of hollow workers."""
 
-    ADD = "add"  # machines, each with its name, zone, kind, address and the time at which it is up
-    JOB = "job"  # a job that was submitted: its tasks' run time, shape and saving
-    DIE = "die"  # machines that are gone; told back once they are
-    RESTART = "restart"  # the process of every worker ends and is back at once
+    ADD = "add"  # add machines, each with its name, zone, kind, address and the time at which it is up
+    JOB = "job"  # a submitted job: its tasks' run time, shape, and times for checkpoints and for saving
+    DIE = "die"  # remove machines; the next batch confirms it in `gone`
+    RESTART = "restart"  # the process of every worker ends and starts again at once
 
 
 class EventKind(StrEnum):
-    """What a process of hollow workers tells of their tasks."""
+    """The kind of an event on a hollow machine."""
 
     STARTED = "started"
     EXITED = "exited"
-    CLEARED = "cleared"  # all tasks of a machine are gone
+    CLEARED = "cleared"  # all tasks of a machine ended at once
 
 
 class TaskEvent(NamedTuple):
-    """Something that happened on a machine, at a time of the steady clock in seconds, which all processes share."""
+    """An event on a machine; `at` is in seconds of the monotonic clock, which all processes share."""
 
     at: float
     kind: EventKind
@@ -32,21 +32,21 @@
 
 
 class Batch(NamedTuple):
-    """What a process tells every few milliseconds: all events up to a time, and its figures since the last batch."""
+    """A periodic message of a process: its events up to the time `upto`, and its figures since the last batch."""
 
     upto: float
     events: list[TaskEvent]
-    gone: list[str]  # machines that it was told to let die
-    bytes_moved: int  # between its workers and the controllers, both ways, headers included
+    gone: list[str]  # machines that were removed by command
+    bytes_moved: int  # between its workers and the controllers, in both directions, headers included
     check_ins_ms: list[int]
     failed_check_ins: int
 
     def fields(self) -> dict:
-        """This as a line holds it."""
+        """The fields for a JSON line."""
         return self._asdict() | {"events": [tuple(event) for event in self.events]}
 
     @classmethod
     def of(cls, fields: dict) -> "Batch":
-        """A batch as it was read from a line."""
+        """The batch with the fields of a JSON line; removes `events` from them."""
         events = [TaskEvent(at, EventKind(kind), *rest) for at, kind, *rest in fields.pop("events")]
         return cls(events=events, **fields)
