--- a/kelpjunction/lab/scale/command.py
+++ b/kelpjunction/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`lab scale`: read a plan, play it with live progress, tell the figures."""
+"""`lab scale`: reads a plan, plays it with live progress and prints the figures."""
 
 from collections.abc import Callable
 from contextlib import nullcontext
@@ -17,35 +17,35 @@
 from kelpjunction.lab.serving import Refused
 
 EXIT_OK, EXIT_FAILED, EXIT_BAD_PLAN = 0, 1, 2
-MOST_TOLD = 20  # broken rules and problems
+MAX_PRINTED = 20  # lines of each list: broken rules, problems and jobs given up
 
 
 def play_plan(file: Path, port: int, as_json: bool, out: Path | None, logs: Path | None) -> int:
-    """Play a file; returns the exit code."""
+    """Play a plan file; returns the exit code."""
     try:
         plan = load_plan(file)
         plan.check_bounds(psutil.virtual_memory().total / MB)
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
         live = nullcontext() if as_json else Live(_table("starting", {}), refresh_per_second=2)
-        run = ScaleRun(plan, port, logs, _shown_by(plan.title, live))
+        run = ScaleRun(plan, port, logs, _progress_display(plan.title, live))
     except (ScaleError, Refused) as error:
         click.echo(f"kelpjunction: {file}: {error}", err=True)
         return EXIT_BAD_PLAN
     try:
         with live:
             run.play()
-    except RunAborted as stopped:
-        run.problems.append(f"stopped: {stopped}")
+    except RunAborted as aborted:
+        run.problems.append(f"stopped: {aborted}")
     except KeyboardInterrupt:
-        run.problems.append("stopped by its user")
+        run.problems.append("interrupted by the user")
     finally:
         run.close()
-    _tell(run.report(), as_json, out)
-    return EXIT_OK if run.well else EXIT_FAILED
+    _print_report(run.report(), as_json, out)
+    return EXIT_OK if run.succeeded else EXIT_FAILED
 
 
-def _shown_by(title: str, live: Live | nullcontext) -> Callable[[dict], None]:
+def _progress_display(title: str, live: Live | nullcontext) -> Callable[[dict], None]:
     if isinstance(live, Live):
         return lambda status: live.update(_table(title, status))
     return lambda status: None
@@ -58,7 +58,7 @@
     return table
 
 
-def _tell(report: dict, as_json: bool, out: Path | None) -> None:
+def _print_report(report: dict, as_json: bool, out: Path | None) -> None:
     content = orjson.dumps(report, option=orjson.OPT_INDENT_2)
     if out is not None:
         out.write_bytes(content)
@@ -66,19 +66,19 @@
         click.echo(content)
         return
     console = Console()
-    plain = {name: value for name, value in report.items() if not isinstance(value, dict | list)}
-    console.print(_table("the run", plain))
+    scalars = {name: value for name, value in report.items() if not isinstance(value, dict | list)}
+    console.print(_table("the run", scalars))
     for title, rows in (("times, ms", report["times_ms"]), ("roles", report["roles"])):
         columns = sorted({column for row in rows.values() for column in row})
         table = Table("", *columns, title=title)
         for name, row in rows.items():
             table.add_row(name, *(str(row.get(column, "")) for column in columns))
         console.print(table)
-    for what in ("broken", "problems", "given_up"):
-        for line in report[what][:MOST_TOLD]:
-            click.echo(f"{what.upper()}: {line}")
+    for list_name in ("broken", "problems", "given_up"):
+        for line in report[list_name][:MAX_PRINTED]:
+            click.echo(f"{list_name.upper()}: {line}")
     click.echo(
-        "no rule was broken, and all that was accepted is over"
+        "no rule was broken, and all accepted jobs are done or cancelled"
         if not report["broken"] + report["problems"]
-        else "not all went as it should"
+        else "rules were broken or problems occurred, see above"
     )
--- a/kelpjunction/lab/scale/hollow.py
+++ b/kelpjunction/lab/scale/hollow.py
@@ -1,8 +1,8 @@
 """A process of hollow workers, each with its own connection, session, token, lease and report times.
 
-Their tasks run on timers, and nothing else runs.  Started by a scale run,
-which writes orders to its standard input and reads batches of events from its
-standard output.  Ends with its input.
+Their tasks are only timers; no real work runs.  A scale run starts this
+process, writes commands to its standard input and reads batches of events from
+its standard output.  The process exits when its standard input is closed.
 """
 
 import random
@@ -19,7 +19,7 @@
 from kelpjunction.clock import seconds
 from kelpjunction.lab.live import STEP_INTERVAL, LiveClock
 from kelpjunction.lab.node_settings import node_number
-from kelpjunction.lab.scale.children import CommandStream, tell
+from kelpjunction.lab.scale.children import CommandStream, send_to_run
 from kelpjunction.lab.scale.messages import Batch, EventKind, ProcessCommand, TaskEvent
 from kelpjunction.lab.serving import REPORT_RESPONSE_TIMEOUT, machine_handle, serve
 from kelpjunction.lab.worker import WorkerStandIn
@@ -27,33 +27,33 @@
 from kelpjunction.transport import HttpTransport, NoResponse
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
-TELL_EVERY = timedelta(milliseconds=50)
-FETCH = timedelta(milliseconds=200)  # that a hollow task takes to be ready
-RUN_SPREAD = (0.85, 1.15)
-REPORT_CONNECTIONS = 1
+BATCH_INTERVAL = timedelta(milliseconds=50)
+FETCH_TIME = timedelta(milliseconds=200)  # simulated image fetch, before a hollow task is ready
+RUN_SPREAD = (0.85, 1.15)  # range of a task's run time, as a multiple of its job's
+CONNECTIONS_PER_WORKER = 1
 
 
 class ByteCounter:
-    """Bytes that this process has sent and received over its counting sockets."""
+    """Total bytes that this process has sent and received over its counting sockets."""
 
     total = 0
 
 
 class CountingSocket(socket):
-    """A socket that counts what goes through it, headers included."""
+    """A socket that counts all bytes that it sends and receives, HTTP headers included."""
 
-    def recv(self, *args, **how) -> bytes:
-        data = super().recv(*args, **how)
+    def recv(self, *args, **kwargs) -> bytes:
+        data = super().recv(*args, **kwargs)
         ByteCounter.total += len(data)
         return data
 
-    def recv_into(self, *args, **how) -> int:
-        count = super().recv_into(*args, **how)
+    def recv_into(self, *args, **kwargs) -> int:
+        count = super().recv_into(*args, **kwargs)
         ByteCounter.total += count
         return count
 
-    def send(self, *args, **how) -> int:
-        count = super().send(*args, **how)
+    def send(self, *args, **kwargs) -> int:
+        count = super().send(*args, **kwargs)
         ByteCounter.total += count
         return count
 
@@ -76,16 +76,16 @@
 
 
 class CountingTransport(HttpTransport):
-    """One worker's connections to the controllers."""
+    """One worker's connections to the controllers, with their bytes counted."""
 
     def _connect(self, address: str) -> HTTPClient:
         client = super()._connect(address)
-        client._connection_pool.__class__ = _CountingPool  # the library has no other way to bring one's own sockets
+        client._connection_pool.__class__ = _CountingPool  # the library offers no other way to supply custom sockets
         return client
 
 
 class HollowWorkers:
-    """The workers of this process and what surrounds them (`lab.worker.WorkerEnvironment`)."""
+    """The workers of this process and their environment (implements `lab.worker.WorkerEnvironment`)."""
 
     reports_changes = True
 
@@ -100,39 +100,42 @@
         self._servers: dict[str, WSGIServer] = {}
         self._jobs: dict[str, dict] = {}
         self._events: list[TaskEvent] = []
-        self._gone: list[str] = []
+        self._removed_machines: list[str] = []
         self._check_ins_ms: list[int] = []
         self._failed_check_ins = 0
-        self._counted = 0
+        self._bytes_already_sent_in_batches = 0
 
-    # -- what a worker asks for ----------------------------------------------
+    # -- called by the workers -----------------------------------------------
 
-    def start(self, worker: WorkerStandIn, frond: str, attempt: int) -> dict:
-        """A task on timers."""
-        job = self._jobs.get(frond.partition("/")[0])
+    def start(self, worker: WorkerStandIn, task_id: str, attempt: int) -> dict:
+        """Start a task as timers; a service has no end time.
+
+        A task of an unknown job exits at once.
+        """
+        job = self._jobs.get(task_id.partition("/")[0])
         if job is None:
             return {"tide": "exited", "cause": "unknown", "ends": None, "job": {}}
-        self._tell(EventKind.STARTED, worker, frond)
-        ready = self.clock.now + FETCH
+        self._record_event(EventKind.STARTED, worker, task_id)
+        ready = self.clock.now + FETCH_TIME
         ends = None if job["shape"] == "service" else ready + seconds(job["run_s"]) * self.vary(RUN_SPREAD)
         return {"tide": "pulling", "ready": ready, "ends": ends, "job": job}
 
-    def exited(self, worker: WorkerStandIn, frond: str, cause: str) -> None:
-        """A task has exited."""
-        self._tell(EventKind.EXITED, worker, frond, cause)
+    def exited(self, worker: WorkerStandIn, task_id: str, cause: str) -> None:
+        """Record that a task has exited."""
+        self._record_event(EventKind.EXITED, worker, task_id, cause)
 
     def cleared(self, worker: WorkerStandIn) -> None:
-        """All tasks of a worker are gone."""
-        self._tell(EventKind.CLEARED, worker)
+        """Record that all tasks of a worker ended at once."""
+        self._record_event(EventKind.CLEARED, worker)
 
-    def _tell(self, kind: EventKind, worker: WorkerStandIn, frond: str = "", cause: str = "") -> None:
-        self._events.append(TaskEvent(time.monotonic(), kind, worker.name, frond, cause))
+    def _record_event(self, kind: EventKind, worker: WorkerStandIn, task_id: str = "", cause: str = "") -> None:
+        self._events.append(TaskEvent(time.monotonic(), kind, worker.name, task_id, cause))
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
-        """Send a report on the worker's own connection, while the others go on."""
-        gevent.spawn(self._carry, worker, worker.restart_count, fields)
+        """Send a report on the worker's own connection, without blocking the other workers."""
+        gevent.spawn(self._send_report, worker, worker.restart_count, fields)
 
-    def _carry(self, worker: WorkerStandIn, life: int, fields: dict) -> None:
+    def _send_report(self, worker: WorkerStandIn, restart_count: int, fields: dict) -> None:
         sent_at = self.clock.now
         transport = self._transports[worker.name]
         try:
@@ -140,11 +143,11 @@
             reply = transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), REPORT_RESPONSE_TIMEOUT)
         except NoResponse:
             self._failed_check_ins += 1
-            if worker.restart_count == life:
+            if worker.restart_count == restart_count:
                 worker.on_no_response()
             return
         self._check_ins_ms.append(round((self.clock.now - sent_at).total_seconds() * 1000))
-        if worker.alive and worker.restart_count == life:
+        if worker.alive and worker.restart_count == restart_count:
             worker.on_report_response(fields, sent_at, *reply)
 
     def number_of(self, node: str | None) -> int | None:
@@ -152,21 +155,21 @@
         return node_number(node, self.node_count)
 
     def vary(self, spread: tuple[float, float]) -> float:
-        """By how much a time differs, by the seed."""
+        """A random factor within the spread, from the seeded generator."""
         return self._random.uniform(*spread)
 
-    # -- orders ----------------------------------------------------------------
+    # -- commands --------------------------------------------------------------
 
-    def handle_command(self, order: ProcessCommand, fields: dict) -> None:
-        """Carry out one order of the run."""
-        if order is ProcessCommand.ADD:
+    def handle_command(self, command: ProcessCommand, fields: dict) -> None:
+        """Carry out one command of the run."""
+        if command is ProcessCommand.ADD:
             for machine in fields["machines"]:
                 self._add(**machine)
-        elif order is ProcessCommand.JOB:
+        elif command is ProcessCommand.JOB:
             self._jobs[fields["ref"]] = fields
-        elif order is ProcessCommand.DIE:
+        elif command is ProcessCommand.DIE:
             for name in fields["machines"]:
-                self._die(name)
+                self._remove(name)
         else:
             for worker in self._workers.values():
                 worker.restart()
@@ -174,58 +177,58 @@
     def _add(self, name: str, zone: str, spot: bool, address: str, ready: float) -> None:
         worker = self._workers[name] = WorkerStandIn(self, name, zone, spot)
         worker.address = address
-        spread = self.times.report * self.vary((0.0, 1.0))
+        first_delay = self.times.report * self.vary((0.0, 1.0))
         worker.lease_renewed_at = worker.booted_at = seconds(ready)
-        worker.next_report = seconds(ready) + spread
+        worker.next_report = seconds(ready) + first_delay
         worker.node = self._random.randrange(self.node_count)
-        self._transports[name] = CountingTransport(REPORT_CONNECTIONS)
+        self._transports[name] = CountingTransport(CONNECTIONS_PER_WORKER)
 
         host, _, port = address.rpartition(":")
         self._servers[name] = serve(machine_handle(worker), int(port), host, CountingServer)
 
-    def _die(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         worker = self._workers.pop(name, None)
         if worker is not None:
             worker.die()
             self._servers.pop(name).stop(timeout=0)
-        self._gone.append(name)
+        self._removed_machines.append(name)
 
     # -- loops -------------------------------------------------------------------
 
     def step_forever(self) -> None:
-        """Let time pass for every worker that is up."""
+        """Step every worker that is up, at a fixed interval."""
         while True:
             for worker in list(self._workers.values()):
                 if worker.up:
                     worker.step()
             gevent.sleep(STEP_INTERVAL.total_seconds())
 
-    def tell_forever(self) -> None:
-        """Write what happened, every few milliseconds."""
+    def send_batches_forever(self) -> None:
+        """Write a batch of events and figures to the run every `BATCH_INTERVAL`."""
         while True:
-            gevent.sleep(TELL_EVERY.total_seconds())
+            gevent.sleep(BATCH_INTERVAL.total_seconds())
             batch = Batch(
                 time.monotonic(),
                 self._events,
-                self._gone,
-                ByteCounter.total - self._counted,
+                self._removed_machines,
+                ByteCounter.total - self._bytes_already_sent_in_batches,
                 self._check_ins_ms,
                 self._failed_check_ins,
             )
-            self._events, self._gone, self._check_ins_ms, self._failed_check_ins = [], [], [], 0
-            self._counted = ByteCounter.total
-            tell(batch.fields())
+            self._events, self._removed_machines, self._check_ins_ms, self._failed_check_ins = [], [], [], 0
+            self._bytes_already_sent_in_batches = ByteCounter.total
+            send_to_run(batch.fields())
 
 
 def main() -> None:
-    """Be told who the controllers are, and then obey until there are no more orders."""
-    orders = CommandStream()
-    times = WorkerTimes(**{name: seconds(value) for name, value in orders.first["times"].items()})
-    workers = HollowWorkers(orders.first["nodes"], times, orders.first["seed"])
-    orders.run(
+    """Read the controllers' addresses from the first line, then run the workers until the commands end."""
+    commands = CommandStream()
+    times = WorkerTimes(**{name: seconds(value) for name, value in commands.first["times"].items()})
+    workers = HollowWorkers(commands.first["nodes"], times, commands.first["seed"])
+    commands.run(
         lambda fields: workers.handle_command(ProcessCommand(fields.pop("do")), fields),
         workers.step_forever,
-        workers.tell_forever,
+        workers.send_batches_forever,
     )
 
 
--- a/kelpjunction/lab/scale/plan.py
+++ b/kelpjunction/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""The file of a scale run: counts, rates, load and faults, checked by field before anything starts."""
+"""The plan file of a scale run: counts, rates, load and faults, validated before anything starts."""
 
 import tomllib
 from dataclasses import dataclass
@@ -12,76 +12,77 @@
 
 FAULTS = ("kill-leader", "freeze", "lose-rack", "lose-zone", "cut", "outage", "restart-workers")
 SHAPES = {"array": "batch", "gang": "ensemble", "service": "service"}
-BASE_MB = 45.0  # of memory, a process with this package imported
-NODE_WORKER_MB = 0.06  # of a controller's memory, for each worker and the tasks on it
-HOLLOW_WORKER_MB = 0.25
-MEMORY_SHARE = 0.5
-MOST_PROCESSES = 200
+PROCESS_MB = 45.0  # memory of a process that has imported this package
+NODE_MB_PER_WORKER = 0.06  # memory in a controller for each worker and the tasks on it
+HOLLOW_MB_PER_WORKER = 0.25
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory, for all processes of a run
+MAX_PROCESSES = 200
 
-_COUNT = {"type": "integer", "minimum": 1}
-_NUMBER = {"type": "number", "minimum": 0}
-_SOME = {"type": "number", "exclusiveMinimum": 0}
+_POSITIVE_INTEGER = {"type": "integer", "minimum": 1}
+_NON_NEGATIVE = {"type": "number", "minimum": 0}
+_POSITIVE = {"type": "number", "exclusiveMinimum": 0}
 
 
-def _table(fields: dict, required: tuple[str, ...] = ()) -> dict:
+def _object_schema(fields: dict, required: tuple[str, ...] = ()) -> dict:
     return {"type": "object", "additionalProperties": False, "properties": fields, "required": list(required)}
 
 
-_check = fastjsonschema.compile(
-    _table(
+_validated = fastjsonschema.compile(
+    _object_schema(
         {
             "title": {"type": "string", "default": ""},
-            "seconds": _SOME | {"maximum": 3600},
-            "settle_s": _NUMBER | {"default": 15},
-            "limit_s": _SOME | {"default": 900, "maximum": 7200},
+            "seconds": _POSITIVE | {"maximum": 3600},
+            "settle_s": _NON_NEGATIVE | {"default": 15},
+            "limit_s": _POSITIVE | {"default": 900, "maximum": 7200},
             "seed": {"type": "integer", "default": 1},
-            "controllers": _table(
-                {"count": _COUNT | {"maximum": 50}, "max_sockets": _COUNT | {"default": 4000}}, ("count",)
+            "controllers": _object_schema(
+                {"count": _POSITIVE_INTEGER | {"maximum": 50}, "max_sockets": _POSITIVE_INTEGER | {"default": 4000}},
+                ("count",),
             ),
-            "workers": _table(
+            "workers": _object_schema(
                 {
-                    "count": _COUNT | {"maximum": 10_000},
-                    "zones": _COUNT | {"maximum": 26, "default": 3},
-                    "processes": _COUNT | {"maximum": 100, "default": 1},
-                    "cpus": _SOME | {"default": 16},
-                    "memory_gb": _SOME | {"default": 64},
-                    "rack": _COUNT | {"default": 40},
-                    "report_s": _SOME | {"default": 3},
-                    "lease_s": _SOME | {"default": 29},
-                    "cancel_s": _SOME | {"default": 49},
+                    "count": _POSITIVE_INTEGER | {"maximum": 10_000},
+                    "zones": _POSITIVE_INTEGER | {"maximum": 26, "default": 3},
+                    "processes": _POSITIVE_INTEGER | {"maximum": 100, "default": 1},
+                    "cpus": _POSITIVE | {"default": 16},
+                    "memory_gb": _POSITIVE | {"default": 64},
+                    "rack": _POSITIVE_INTEGER | {"default": 40},
+                    "report_s": _POSITIVE | {"default": 3},
+                    "lease_s": _POSITIVE | {"default": 29},
+                    "cancel_s": _POSITIVE | {"default": 49},
                 },
                 ("count",),
             ),
-            "state": _table(
+            "state": _object_schema(
                 {
-                    "rps": _SOME | {"default": 1000},
-                    "write_rps": _SOME | {"default": 400},
-                    "value_kb": _SOME | {"default": 16},
-                    "txn_ops": _COUNT | {"default": 12},
+                    "rps": _POSITIVE | {"default": 1000},
+                    "write_rps": _POSITIVE | {"default": 400},
+                    "value_kb": _POSITIVE | {"default": 16},
+                    "txn_ops": _POSITIVE_INTEGER | {"default": 12},
                 }
             ),
-            "teams": _table(
+            "teams": _object_schema(
                 {
-                    "count": _COUNT | {"default": 43},
-                    "cpus": _NUMBER | {"default": 100},
-                    "cpus_max": _SOME | {"default": 1000},
+                    "count": _POSITIVE_INTEGER | {"default": 43},
+                    "cpus": _NON_NEGATIVE | {"default": 100},
+                    "cpus_max": _POSITIVE | {"default": 1000},
                 }
             ),
             "load": {
                 "type": "array",
                 "minItems": 1,
-                "items": _table(
+                "items": _object_schema(
                     {
                         "name": {"type": "string", "minLength": 1},
                         "shape": {"enum": list(SHAPES)},
                         "urgency": {"enum": ["prod", "high", "standard", "low"], "default": "standard"},
                         "initial": {"type": "integer", "minimum": 0, "default": 0},
-                        "arrivals_per_s": _NUMBER | {"default": 0},
-                        "tasks": _COUNT | {"maximum": 100_000},
-                        "cpus": _SOME | {"default": 1},
-                        "memory_gb": _SOME | {"default": 1},
-                        "run_s": _SOME,
-                        "cancelled": _NUMBER | {"maximum": 1, "default": 0},
+                        "arrivals_per_s": _NON_NEGATIVE | {"default": 0},
+                        "tasks": _POSITIVE_INTEGER | {"maximum": 100_000},
+                        "cpus": _POSITIVE | {"default": 1},
+                        "memory_gb": _POSITIVE | {"default": 1},
+                        "run_s": _POSITIVE,
+                        "cancelled": _NON_NEGATIVE | {"maximum": 1, "default": 0},
                     },
                     ("name", "shape", "tasks", "run_s"),
                 ),
@@ -89,8 +90,8 @@
             "fault": {
                 "type": "array",
                 "default": [],
-                "items": _table(
-                    {"at_s": _NUMBER, "do": {"enum": list(FAULTS)}, "seconds": _NUMBER | {"default": 0}},
+                "items": _object_schema(
+                    {"at_s": _NON_NEGATIVE, "do": {"enum": list(FAULTS)}, "seconds": _NON_NEGATIVE | {"default": 0}},
                     ("at_s", "do"),
                 ),
             },
@@ -101,12 +102,12 @@
 
 
 class ScaleError(Exception):
-    """A file that can't be played; the text names the field."""
+    """A plan file that can't be played; the text names the cause, which is usually a field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Workers:
-    """The hollow workers: how many, where, and their machines' size."""
+    """The hollow workers: their number, zones and processes, and the size of their machines."""
 
     count: int
     zones: tuple[str, ...]
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One kind of job, and how often it comes."""
+    """One kind of job, and how often it is submitted."""
 
     name: str
     shape: str
@@ -135,20 +136,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that fails, `at` so long after the start, for `lasting` where it ends by itself."""
+    """A fault, injected `at` after the start of the load; it ends after `duration`, if it is of a kind that ends."""
 
     at: timedelta
     do: str
-    lasting: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class ScalePlan:
-    """All that a scale run is told."""
+    """The settings of a scale run."""
 
     title: str
-    settle: timedelta  # from the first leader until the load comes: machines are found and workers heard
-    lasting: timedelta
+    settle: timedelta  # from the first leader to the load, in which machines are found and workers report
+    duration: timedelta
     limit: timedelta
     seed: int
     controllers: int
@@ -162,27 +163,27 @@
 
     @property
     def processes(self) -> int:
-        """How many processes it will start, this one included."""
+        """The number of processes of the run, this one included."""
         return self.controllers + self.workers.processes + 2
 
     @property
     def memory_mb(self) -> float:
-        """An estimate of the memory that all its processes take together."""
-        nodes = self.controllers * (BASE_MB + NODE_WORKER_MB * self.workers.count)
-        return nodes + (self.workers.processes + 2) * BASE_MB + HOLLOW_WORKER_MB * self.workers.count
+        """An estimate of the total memory of all processes of the run."""
+        nodes = self.controllers * (PROCESS_MB + NODE_MB_PER_WORKER * self.workers.count)
+        return nodes + (self.workers.processes + 2) * PROCESS_MB + HOLLOW_MB_PER_WORKER * self.workers.count
 
     def check_bounds(self, memory_mb: float) -> None:
-        """Refuse what this machine, of so much memory, should not be asked for; raises `ScaleError`."""
-        if self.processes > MOST_PROCESSES:
-            raise ScaleError(f"{self.processes} processes are wanted, at most {MOST_PROCESSES} may be started")
-        if self.memory_mb > memory_mb * MEMORY_SHARE:
+        """Raise `ScaleError` if the plan needs too many processes, or too much for a machine with `memory_mb` MB."""
+        if self.processes > MAX_PROCESSES:
+            raise ScaleError(f"the plan needs {self.processes} processes, at most {MAX_PROCESSES} are allowed")
+        if self.memory_mb > memory_mb * MAX_MEMORY_SHARE:
             raise ScaleError(
-                f"some {self.memory_mb:.0f} MB are wanted, more than half of this machine's {memory_mb:.0f}"
+                f"the plan needs about {self.memory_mb:.0f} MB, more than half of this machine's {memory_mb:.0f}"
             )
 
 
 def load_plan(path: Path) -> ScalePlan:
-    """Read and check a file; raises `ScaleError`, which names the field."""
+    """Read and validate a plan file; raises `ScaleError`."""
     try:
         fields = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -190,30 +191,30 @@
     fields.setdefault("state", {})
     fields.setdefault("teams", {})
     try:
-        fields = _check(fields)
+        fields = _validated(fields)
     except fastjsonschema.JsonSchemaValueException as error:
         raise ScaleError(error.message.removeprefix("data.")) from error
     workers = fields["workers"]
     if workers["cancel_s"] <= workers["lease_s"]:
         raise ScaleError("workers.cancel_s must be above workers.lease_s")
-    for number, kind in enumerate(fields["load"]):
-        if kind["cpus"] > workers["cpus"] or kind["memory_gb"] > workers["memory_gb"]:
-            raise ScaleError(f"load[{number}].cpus or memory_gb is more than a worker has")
-        if kind["cpus"] * kind["tasks"] > fields["teams"]["cpus_max"] and kind["shape"] != "array":
+    for number, load in enumerate(fields["load"]):
+        if load["cpus"] > workers["cpus"] or load["memory_gb"] > workers["memory_gb"]:
+            raise ScaleError(f"load[{number}].cpus or memory_gb is above that of a worker")
+        if load["cpus"] * load["tasks"] > fields["teams"]["cpus_max"] and load["shape"] != "array":
             raise ScaleError(f"load[{number}].tasks is more than a team's limit allows at once")
     for number, fault in enumerate(fields["fault"]):
         if fault["at_s"] > fields["seconds"]:
             raise ScaleError(f"fault[{number}].at_s is after the end of the run")
-    return _plan(fields)
+    return _plan_from(fields)
 
 
-def _plan(fields: dict) -> ScalePlan:
+def _plan_from(fields: dict) -> ScalePlan:
     workers, state, teams = fields["workers"], fields["state"], fields["teams"]
     report, lease, cancel = (seconds(workers[f"{name}_s"]) for name in ("report", "lease", "cancel"))
     return ScalePlan(
         title=fields["title"],
         settle=seconds(fields["settle_s"]),
-        lasting=seconds(fields["seconds"]),
+        duration=seconds(fields["seconds"]),
         limit=seconds(fields["limit_s"]),
         seed=fields["seed"],
         controllers=fields["controllers"]["count"],
@@ -234,18 +235,18 @@
         ),
         loads=tuple(
             Load(
-                kind["name"],
-                SHAPES[kind["shape"]],
-                kind["urgency"],
-                kind["initial"],
-                kind["arrivals_per_s"],
-                kind["tasks"],
-                kind["cpus"],
-                kind["memory_gb"],
-                seconds(kind["run_s"]),
-                kind["cancelled"],
+                load["name"],
+                SHAPES[load["shape"]],
+                load["urgency"],
+                load["initial"],
+                load["arrivals_per_s"],
+                load["tasks"],
+                load["cpus"],
+                load["memory_gb"],
+                seconds(load["run_s"]),
+                load["cancelled"],
             )
-            for kind in fields["load"]
+            for load in fields["load"]
         ),
         faults=tuple(
             Fault(seconds(fault["at_s"]), fault["do"], seconds(fault["seconds"]))
