--- a/kelpjunction/lab/ledger_simulation.py
+++ b/kelpjunction/lab/ledger_simulation.py
@@ -1,9 +1,9 @@
-"""Weeks of eight teams on the simulated clock, with kills, freezes and outages, and the ledger's proof at their end.
+"""A simulation of weeks of load by eight teams, with kills, freezes and outages, that checks the ledger at the end.
 
 The time of day passes some hundred times as fast as the steady clock, so that
-leases, rounds and closings keep their pace.  At the end the ledger's sums are
-compared with the rig's own account, and each priority that a leader used with
-what a replay of the exported entries gives.
+leases, rounds and closings keep their pace. At the end the ledger's sums are
+compared with usage that the lab measured independently. Each priority that a
+leader used is compared with the result of replaying the exported entries.
 """
 
 from dataclasses import replace
@@ -18,24 +18,24 @@
 from kelpjunction.ledger.reader import LedgerContents, read
 from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
 
-SMALL, USUAL = 8.0, 16.0
+SMALL_GUARANTEE_CPUS, USUAL_GUARANTEE_CPUS = 8.0, 16.0
 TEAMS = (
-    Team("heavy", SMALL, 0.0, None, None),  # as much as it gets, always
-    Team("weekly", USUAL, 0.0, None, None),  # a deadline at the end of each week
-    Team("idle", USUAL, 0.0, None, None),  # away from the second week to the fifth
+    Team("heavy", SMALL_GUARANTEE_CPUS, 0.0, None, None),  # always submits as much as possible
+    Team("weekly", USUAL_GUARANTEE_CPUS, 0.0, None, None),  # submits for a deadline at the end of each week
+    Team("idle", USUAL_GUARANTEE_CPUS, 0.0, None, None),  # submits nothing from the second to the fifth week
     Team("guest", 0.0, 0.0, None, None),
-    Team("late", SMALL, 0.0, None, None),  # joins in the third week
-    Team("north", USUAL, 0.0, 40.0, None),
-    Team("south", USUAL, 0.0, 40.0, None),
-    Team("pages", SMALL, 0.0, None, None),  # services
+    Team("late", SMALL_GUARANTEE_CPUS, 0.0, None, None),  # submits from the third week on
+    Team("north", USUAL_GUARANTEE_CPUS, 0.0, 40.0, None),
+    Team("south", USUAL_GUARANTEE_CPUS, 0.0, 40.0, None),
+    Team("pages", SMALL_GUARANTEE_CPUS, 0.0, None, None),  # services
 )
-LIVE_JOBS = 3  # of a team at once, but for the heavy one
-LOAD_INTERVAL_S = 2.0  # seconds between two looks at the load
-REQUEST_LOSS_RATE = 0.002  # of the nodes' requests to the state service: lost, or answered in vain
+MAX_LIVE_JOBS = 3  # per team; doubled for the teams "heavy" and "weekly"
+LOAD_INTERVAL_S = 2.0  # mean time between two checks of the load
+REQUEST_LOSS_RATE = 0.002  # share of the nodes' requests to the state service that are lost or lose their reply
 
 
 class FactorUse(NamedTuple):
-    """A priority that a leader used: the last entry it knew of, the team, the factor."""
+    """A priority factor that a leader used for a team, with the last ledger entry that the leader knew."""
 
     entry: int
     team: str
@@ -43,14 +43,14 @@
 
 
 class LedgerCheck(NamedTuple):
-    """What the weeks came to."""
+    """The result of a simulation."""
 
     books: LedgerContents
     replayed: Replayed
     ledger: dict[str, ResourceTime]
     observed_usage: dict[str, ResourceTime]
-    used: int  # priorities compared
-    wrong: list[FactorUse]  # those that the replay does not give
+    used: int  # number of priorities compared
+    wrong: list[FactorUse]  # priorities that differ from the replay
     faults: int
     starts: int
     broken: list[str]
@@ -61,12 +61,12 @@
 
 
 class LedgerSimulation:
-    """Plays so much time of day as six weeks of load; a short run squeezes them."""
+    """Runs six weeks of load, compressed into `length` of the time of day."""
 
     def __init__(self, seed: int, length: timedelta, day_speed: int = 720, form: str = "hyperbolic") -> None:
-        usual = load_operator_settings(None)
-        settings = replace(usual.ledger, enabled=True, half_life=length / 6, form=form)
-        self.operators: OperatorSettings = replace(usual, ledger=settings)
+        defaults = load_operator_settings(None)
+        settings = replace(defaults.ledger, enabled=True, half_life=length / 6, form=form)
+        self.operators: OperatorSettings = replace(defaults, ledger=settings)
         self.world = World(
             seed=seed, machines=12, capacity=12, teams=TEAMS, operators=self.operators, day_speed=day_speed
         )
@@ -75,24 +75,24 @@
         self._began = self.world.clock.utc()
         self._refs: dict[str, list[str]] = {t.name: [] for t in TEAMS}
         self._number = 0
-        self._used: set[FactorUse] = set()
+        self._used_factors: set[FactorUse] = set()
         self.faults = 0
         self.usage_observer = UsageObserver(self.world.store, self.world.clock)
-        self.world.filter = self._fate
-        self._watched: set[int] = set()
+        self.world.filter = self._random_loss
+        self._hooked_nodes: set[int] = set()
 
-    def _fate(self, source: str, target: str, path: str) -> str | None:
-        # Nothing is held back on its way to the state service: the account reads its clock.
+    def _random_loss(self, source: str, target: str, path: str) -> str | None:
+        # No request to the state service is delayed: the usage observer uses the time at which changes are applied.
         if target != STORE or path.startswith("/follow") or self._random.random() >= REQUEST_LOSS_RATE:
             return None
         return self._random.choice(["lost", "answer lost"])
 
     def play(self) -> LedgerCheck:
-        """Play it, let all work end, close the ledger and compare."""
+        """Run the load, end all jobs, let the ledger close and compare."""
         world = self.world
         world.run(5)
         while world.clock.utc() - self._began < self._length:
-            self._watch()
+            self._hook_new_nodes()
             self._load()
             if self._random.random() < 0.08:
                 self._fault()
@@ -107,12 +107,12 @@
             world.abort(ref)
         assert world.run(200, lambda: not world.running() and not any(k.startswith("l/job/") for k in world.store.data))
         world.run(60)
-        return self._proof()
+        return self._check_ledger()
 
     # -- load -------------------------------------------------------------------
 
     def _active(self, team: str, at: float) -> bool:
-        """Whether a team submits at this part of the whole, which counts as six weeks."""
+        """Whether a team submits now; `at` is the elapsed fraction of the run, which stands for six weeks."""
         week = at * 6
         if team == "idle":
             return week < 1 or week >= 5
@@ -126,7 +126,9 @@
         at = (self.world.clock.utc() - self._began) / self._length
         for team, refs in self._refs.items():
             refs[:] = [ref for ref in refs if f"l/job/{ref}" in self.world.store.data]
-            if len(refs) < (2 * LIVE_JOBS if team in ("heavy", "weekly") else LIVE_JOBS) and self._active(team, at):
+            if len(refs) < (2 * MAX_LIVE_JOBS if team in ("heavy", "weekly") else MAX_LIVE_JOBS) and self._active(
+                team, at
+            ):
                 self._submit(team, refs)
             elif refs and team == "pages" and self._random.random() < 0.1:
                 self.world.abort(refs[0])
@@ -164,24 +166,24 @@
 
     # -- priorities -----------------------------------------------------------------
 
-    def _watch(self) -> None:
-        """Note each factor that a leader uses, with the last entry it knows of."""
+    def _hook_new_nodes(self) -> None:
+        """Hook each new node, so that the factors it uses as leader are recorded with the last entry that it knows."""
         for node in self.world.nodes.values():
-            if node is not None and id(node) not in self._watched:
-                self._watched.add(id(node))
-                node.leader_scheduler.team_weight_factor = self._noting(node)
+            if node is not None and id(node) not in self._hooked_nodes:
+                self._hooked_nodes.add(id(node))
+                node.leader_scheduler.team_weight_factor = self._recording_factor(node)
 
-    def _noting(self, node: Node):
+    def _recording_factor(self, node: Node):
         def factor(team: str) -> float:
             value = node.ledger_keeper.factor(team)
-            self._used.add(FactorUse(node.ledger_keeper.entry, team, value))
+            self._used_factors.add(FactorUse(node.ledger_keeper.entry, team, value))
             return value
 
         return factor
 
-    # -- the proof ------------------------------------------------------------------
+    # -- result ---------------------------------------------------------------------
 
-    def _proof(self) -> LedgerCheck:
+    def _check_ledger(self) -> LedgerCheck:
         world = self.world
         books = read(next(node.store for node in world.nodes.values() if node is not None))
         sums = {team: amounts for team, amounts in total(books.entries).items() if any(amounts)}
@@ -191,8 +193,16 @@
             if entry["kind"] == "closing":
                 now |= {team: row.factor / FIXED_POINT_ONE for team, row in rows_of(entry).items()}
             factors[entry["n"]] = now
-        wrong = [u for u in self._used if factors[u.entry].get(u.team, 1.0) != u.factor]
-        account = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
+        wrong = [u for u in self._used_factors if factors[u.entry].get(u.team, 1.0) != u.factor]
+        observed = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
         return LedgerCheck(
-            books, audit(books), sums, account, len(self._used), wrong, self.faults, len(world.starts), world.broken
+            books,
+            audit(books),
+            sums,
+            observed,
+            len(self._used_factors),
+            wrong,
+            self.faults,
+            len(world.starts),
+            world.broken,
         )
--- a/kelpjunction/lab/usage_observer.py
+++ b/kelpjunction/lab/usage_observer.py
@@ -1,4 +1,4 @@
-"""The rig's own account of what ran: from the state service's commits and its clock, by none of the nodes' sums."""
+"""Measures usage independently of the nodes' sums, from the state service's commits and its clock."""
 
 from collections import Counter
 from datetime import UTC, datetime
@@ -8,43 +8,43 @@
 from kelpjunction.ledger.accounts import ResourceTime, resource_time
 from kelpjunction.wire.users import job_from_fields
 
-_JOB, _RUN, _END = "l/job/", "l/run/", "e/"
+_JOB_PREFIX, _RUN_PREFIX, _END_PREFIX = "l/job/", "l/run/", "e/"
 
 
 class UsageObserver:
-    """Watches a stand-in of the state service and adds up, for each team, how long its tasks held their places.
+    """Observes the changes of a state service stand-in and sums up the machine time of each team's tasks.
 
-    A place is held from the commit that puts a task's row into its chunk until
-    the commit that takes it out, in whole milliseconds of the time of day since
-    the job's submission.  `machine_time_ms` is in task-milliseconds by (team, cpus, gpus,
-    memory).
+    A placement counts from the commit that adds the task's row to its chunk to
+    the commit that removes it, in whole milliseconds of the time of day since
+    the job's submission.  `machine_time_ms` is in task-milliseconds by (team,
+    cpus, gpus, memory).
     """
 
     def __init__(self, store: StoreStandIn, clock) -> None:
         self._clock = clock
-        self._jobs: dict[str, tuple] = {}  # size and submission
-        self._rows: dict[str, dict[tuple[str, int, int], int]] = {}  # starts by job, of (chunk, task, attempt)
+        self._jobs: dict[str, tuple] = {}  # by job: size and time of submission
+        self._rows: dict[str, dict[tuple[str, int, int], int]] = {}  # by job: start of (chunk, task, attempt)
         self.machine_time_ms: Counter[tuple[str, float, float, float]] = Counter()
-        store.on_set = self._set
+        store.on_set = self._on_set
 
-    def _set(self, key: str, value: dict | None) -> None:
-        if key.startswith(_JOB) and value is not None:
+    def _on_set(self, key: str, value: dict | None) -> None:
+        if key.startswith(_JOB_PREFIX) and value is not None:
             spec = job_from_fields(value["spec"])
-            self._jobs[key.removeprefix(_JOB)] = ((spec.team, spec.cpus, spec.gpus, spec.memory), value["at"])
-        elif key.startswith(_RUN):
-            self._chunk_set(key, {} if value is None else value)
-        elif key.startswith(_END):
-            ref = key.removeprefix(_END)
+            self._jobs[key.removeprefix(_JOB_PREFIX)] = ((spec.team, spec.cpus, spec.gpus, spec.memory), value["at"])
+        elif key.startswith(_RUN_PREFIX):
+            self._update_chunk(key, {} if value is None else value)
+        elif key.startswith(_END_PREFIX):
+            ref = key.removeprefix(_END_PREFIX)
             for row in list(self._rows.get(ref, ())):
                 self._end(ref, row)
 
-    def _chunk_set(self, key: str, value: dict) -> None:
+    def _update_chunk(self, key: str, value: dict) -> None:
         ref = key.split("/")[2]
         known = self._rows.setdefault(ref, {})
-        there = {(key, row[0], row[1]) for row in value.get("p", ())}
-        for row in [r for r in known if r[0] == key and r not in there]:
+        current = {(key, row[0], row[1]) for row in value.get("p", ())}
+        for row in [r for r in known if r[0] == key and r not in current]:
             self._end(ref, row)
-        for row in there - known.keys():
+        for row in current - known.keys():
             known[row] = self._age(ref)
 
     def _end(self, ref: str, row: tuple[str, int, int]) -> None:
@@ -55,12 +55,12 @@
         return (self._clock.utc() - datetime.fromtimestamp(self._jobs[ref][1], UTC)) // MILLISECOND
 
     def by_team(self) -> dict[str, ResourceTime]:
-        """What each team's tasks held, for each resource, as the ledger counts it."""
+        """The resource time that each team's tasks used, in the ledger's units."""
         sums: dict[str, ResourceTime] = {}
         for (team, *size), ms in self.machine_time_ms.items():
             sums[team] = sums.get(team, ResourceTime()) + resource_time(*size, ms)
         return sums
 
     def open_row_count(self) -> int:
-        """How many rows still hold a place."""
+        """The number of rows that have not ended."""
         return sum(map(len, self._rows.values()))
