--- a/kelpjunction/lab/cloud.py
+++ b/kelpjunction/lab/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud: one machine type, a few zones, a list that lags."""
+"""A stand-in for the cloud: one machine type, a few zones, and a machine list that shows new machines 5 s late."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -11,22 +11,22 @@
     from kelpjunction.lab.site import Site
 
 MACHINE_CPUS, MACHINE_MEMORY_GB = 8.0, 64.0
-BOOT_SPREAD = (0.6, 1.5)  # of the time a machine takes to boot, as PROTOCOL says
+BOOT_SPREAD = (0.6, 1.5)  # factors of a machine's nominal boot time, from PROTOCOL
 
 
 class CloudStandIn:
-    """The cloud: one machine type, a few zones, a list that lags."""
+    """The cloud: one machine type, a few zones, and a machine list that shows new machines 5 s late."""
 
     def __init__(self, world: "Site", capacity: int) -> None:
         self.world, self.capacity = world, capacity
         self.machines: dict[str, tuple[WorkerStandIn, timedelta]] = {}
-        self.workers_by_address: dict[str, WorkerStandIn] = {}  # all there ever were, by address
+        self.workers_by_address: dict[str, WorkerStandIn] = {}  # including workers of machines that are gone
         self.rentals_by_request: dict[str, list[str]] = {}
         self.number = 0
         self.is_down = False
         self.boot = seconds(20)
         self.cpus, self.memory_gb = MACHINE_CPUS, MACHINE_MEMORY_GB
-        self.zones_without_capacity: set[str] = set()  # zones of which nothing is rented out
+        self.zones_without_capacity: set[str] = set()  # zones in which every rental request is refused
 
     def add(self, zone: str, spot: bool, ready: timedelta) -> WorkerStandIn:
         self.number += 1
@@ -46,12 +46,12 @@
             return Reply(503, {"error": "trouble"})
         now = self.world.clock.now
         if path == "/catalog":
-            hull = {
+            machine_type = {
                 "label": "box", "cpus": self.cpus, "accelerators": 0, "ram_gb": self.memory_gb, "local_gb": 50,
                 "fetch_gb_per_s": 1.0, "price": 1.0, "market_price": 0.4, "startup_s": 20,
                 "bays": list(self.world.zones),
             }  # fmt: skip
-            return Reply(200, {"hulls": [hull]})
+            return Reply(200, {"hulls": [machine_type]})
         if path == "/rentals/return":
             for name in body["holdfasts"]:
                 worker, _ = self.machines.pop(name, (None, None))
--- a/kelpjunction/lab/live.py
+++ b/kelpjunction/lab/live.py
@@ -1,8 +1,8 @@
-"""A lab of real processes: nodes as `serve` runs them, and the stand-ins over HTTP, all on loopback.
+"""A lab of real processes on loopback: nodes as `serve` runs them, and the stand-ins over HTTP.
 
-The state service, the cloud and each worker listen on ports of their own; a
-control port takes faults from a second terminal.  Tasks run, and machines
-boot, `speed` times as fast as they would.  All of it ends with the process.
+The state service, the cloud and each worker listen on their own ports. A
+control port accepts faults from a second terminal. Tasks run and machines boot
+`speed` times as fast as their nominal times. Everything ends with the process.
 """
 
 import os
@@ -30,13 +30,13 @@
 from kelpjunction.transport import HttpTransport, NoResponse, Reply
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
-STATE_PORT, CLOUD_PORT, CONTROL_PORT, GATEWAY_PORT = 379, 443, 70, 90  # above the lab's first port, as the nodes' are
+STATE_PORT, CLOUD_PORT, CONTROL_PORT, GATEWAY_PORT = 379, 443, 70, 90  # offsets from the lab's first port, as for nodes
 STEP_INTERVAL = timedelta(milliseconds=100)
 USER_TIMEOUT = timedelta(seconds=5)
 
 
 class LiveClock:
-    """The steady clock, as stand-ins read it."""
+    """The system's monotonic clock, for the stand-ins."""
 
     @property
     def now(self) -> timedelta:
@@ -44,7 +44,7 @@
 
 
 class LiveSite(Site):
-    """Real nodes, and the stand-ins around them."""
+    """Real node processes and the stand-ins that they use."""
 
     def __init__(
         self,
@@ -82,16 +82,16 @@
     # -- servers ----------------------------------------------------------------
 
     def _serve(self, offset: int, handle: Handle) -> int:
-        """Serve `handle` on loopback, at this offset or at any free port; returns the port."""
+        """Serve `handle` at this offset from the first port, or at any free port with offset 0; returns the port."""
         server = serve(handle, self._port + offset if offset else 0)
         self._servers.append(server)
         return server.server_port
 
     def address_of(self, worker: WorkerStandIn, number: int) -> str:
-        gevent.spawn(self._work, worker)
+        gevent.spawn(self._run_worker, worker)
         return f"{HOST}:{self._serve(0, machine_handle(worker))}"
 
-    def _work(self, worker: WorkerStandIn) -> None:
+    def _run_worker(self, worker: WorkerStandIn) -> None:
         while True:
             gevent.sleep(STEP_INTERVAL.total_seconds())
             worker.step()
@@ -102,13 +102,13 @@
         return f"{HOST}:{self._port + 80 + 100 * number + internal}"
 
     def settings(self, name: str) -> dict:
-        """A node's settings file, as DEPLOY describes it."""
+        """The contents of a node's settings file, as DEPLOY describes it."""
         places = [
             NodePlace(
                 node,
                 self.zones[number % len(self.zones)],
                 self._node_address(number),
-                self._node_address(number, internal_address=True),
+                self._node_address(number, internal=True),
             )
             for number, node in enumerate(self.node_names)
         ]
@@ -121,20 +121,20 @@
         return node_settings(places[self.number_of(name)], others, services, lab)
 
     def start_node(self, name: str) -> None:
-        """Start a node's process, unless it runs."""
+        """Start a node's process if it is not running; raises `Refused` if its port is taken."""
         if self.runs(name):
             return
         address = self.settings(name)["listen"]
         host, _, port = address.partition(":")
         with socket.socket() as probe:
             if probe.connect_ex((host, int(port))) == 0:
-                raise Refused(f"{address} is taken: another lab may be up; --port names another")
+                raise Refused(f"{address} is already in use, possibly by another lab; choose another port with --port")
         file = Path(self._folder.name) / f"{name}.toml"
         file.write_text(tomli_w.dumps(self.settings(name)))
         self.processes[name] = self._process(name, "serve", "--config", str(file), *self._operators)
 
     def _start_gateway(self) -> subprocess.Popen:
-        """One ticket gateway, with a class of each kind."""
+        """Start one ticket gateway with one class for each rerun policy."""
         settings = {
             "name": "gate-0",
             "listen": f"{HOST}:{self._port + GATEWAY_PORT}",
@@ -146,7 +146,7 @@
         return self._process("gateway", "ticket", "serve", "--config", str(node), "--settings", str(file))
 
     def _process(self, name: str, *command: str) -> subprocess.Popen:
-        """A process of the command line, its log beside the settings."""
+        """Start a command of the command line; its log goes to the folder of the settings files."""
         with (Path(self._folder.name) / f"{name}.log").open("ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "kelpjunction", *command],
@@ -165,12 +165,12 @@
         return process is not None and process.poll() is None
 
     def leader_name(self) -> str | None:
-        """The node that the state service says leads."""
+        """The leader according to the state service, if there is one."""
         entry = self.store.data.get("l/lead")
         return entry[0]["node"] if entry else None
 
     def close(self) -> None:
-        """End all that this lab started."""
+        """Stop all processes and servers, and delete the settings and logs."""
         for name in self.processes:
             self.kill_node(name)
         if self._gateway is not None:
@@ -191,12 +191,12 @@
                 continue
         raise NoResponse("every node refuses the connection")
 
-    def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
+    def ask_gateway(self, action: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
         method, path, body = {
             "submit": ("POST", TICKETS_PATH, argument),
             "show": ("GET", f"{TICKETS_PATH}/{argument}", None),
             "cancel": ("POST", f"{TICKETS_PATH}/{argument}{CANCEL_END}", b"{}"),
-        }[what]
+        }[action]
         try:
             return self._transport.request(f"{HOST}:{self._port + GATEWAY_PORT}", method, path, body, USER_TIMEOUT)
         except NoResponse:
@@ -205,7 +205,7 @@
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
         if worker.partitioned:
             gevent.sleep(REPORT_RESPONSE_TIMEOUT.total_seconds())
-            raise NoResponse("cut")
+            raise NoResponse("the machine is cut off from the network")
         address = self._node_address(number)
         return self._transport.request(address, "POST", CHECK_IN_PATH, orjson.dumps(fields), REPORT_RESPONSE_TIMEOUT)
 
@@ -226,11 +226,11 @@
             return Reply(200, {})
         return Reply(200, self.status())
 
-    # -- a look ---------------------------------------------------------------------
+    # -- status ---------------------------------------------------------------------
 
     def status(self) -> dict:
-        """What the lab's table shows."""
-        live = Counter(frond.partition("/")[0] for frond, _ in self._live())
+        """The data that the lab's table shows."""
+        live = Counter(task_id.partition("/")[0] for task_id, _ in self._live_tasks())
         specs = {k.removeprefix("l/job/"): v[0]["spec"] for k, v in self.store.data.items() if k.startswith("l/job/")}
         ends = {k.removeprefix("e/"): v[0]["end"] for k, v in self.store.data.items() if k.startswith("e/")}
         jobs = {
@@ -254,7 +254,10 @@
         }
 
     def run(self, duration: float, until=None) -> bool:
-        """Let time pass; whether `until` came true."""
+        """Run for `duration` seconds or until `until` is true.
+
+        Returns whether `until` became true; without `until`, returns True.
+        """
         end = time.monotonic() + duration
         while time.monotonic() < end:
             self.store.expire_leases()
--- a/kelpjunction/lab/node_settings.py
+++ b/kelpjunction/lab/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a lab's node, as DEPLOY describes it."""
+"""The settings file of a lab node, as DEPLOY describes it."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 def node_number(node: str | None, count: int) -> int | None:
-    """The number of a lab's node by its name, of so many; None for one that is unknown."""
+    """The number of a lab node, of `count` nodes, by its name; None for an unknown name."""
     number = (node or "").removeprefix("holdfast-")
     return int(number) if number.isdigit() and int(number) < count else None
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LabPlatform:
-    """What all nodes of a lab share."""
+    """Settings that all nodes of a lab share."""
 
     zones: tuple[str, ...]
     teams: tuple[Team, ...]
@@ -35,14 +35,14 @@
 
 
 def node_settings(place: NodePlace, others: Iterable[NodePlace], services: dict[str, str], lab: LabPlatform) -> dict:
-    """The fields of one node's file; `services` has the addresses of `cloud` and `state`."""
+    """The contents of one node's settings file; `services` has the addresses of `cloud` and `state`."""
     times = {f"{field}_s": getattr(lab.times, field).total_seconds() for field in lab.times.__slots__}
     return {
         "node": place.name,
         "zone": place.zone,
         "listen": place.listen,
         "internal_addr": place.internal,
-        "siblings": [{"node": o.name, "zone": o.zone, "endpoint": o.internal} for o in others],
+        "siblings": [{"node": other.name, "zone": other.zone, "endpoint": other.internal} for other in others],
         "services": services,
         "params": {
             "zones": list(lab.zones),
--- a/kelpjunction/lab/rules.py
+++ b/kelpjunction/lab/rules.py
@@ -1,13 +1,14 @@
-"""PROTOCOL's rules on a start and on an answer, as pure functions: what they break, by the name PROTOCOL gives it.
+"""Pure functions that check a task's start or an answer to a user against the rules of PROTOCOL.
 
-`lab.site` asks them on what stands on its machines, a scale run on what its
-workers' processes tell it.
+Each returns the violations as texts that begin with the rule's name in
+PROTOCOL. `lab.site` applies them to the tasks on its machines, and a scale run
+to the events that its worker processes report.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SLACK = 1e-6
+CPU_TOLERANCE = 1e-6
 CANCELLED, DONE = "withdrawn", "done"
 
 
@@ -20,16 +21,16 @@
 
 
 def start_violations(job: dict, start: PlacedTask, spot: bool, other_tasks: Iterable[PlacedTask]) -> list[str]:
-    """What a task's start breaks, given what else of its job is on machines (`ran_twice`, `wrong_place`)."""
+    """Violations by a task's start, given the other tasks of its job on machines (`ran_twice`, `wrong_place`)."""
     other_tasks = list(other_tasks)
     broken = []
-    if others := [mate.machine for mate in other_tasks if mate.frond == start.frond]:
+    if others := [other.machine for other in other_tasks if other.frond == start.frond]:
         broken.append(f"ran_twice: {start.frond} on {start.machine} while on {others}")
     if spot and not job.get("driftwood"):
         broken.append(f"wrong_place: {start.frond} on spot {start.machine}")
     if job.get("bay") not in (None, start.zone):
         broken.append(f"wrong_place: {start.frond} in {start.zone}")
-    zones = [mate.zone for mate in other_tasks]
+    zones = [other.zone for other in other_tasks]
     if job.get("together") and any(zone != start.zone for zone in zones):
         broken.append(f"wrong_place: {start.frond} apart from its gang")
     if job.get("apart") and zones.count(start.zone) >= -(-job["fronds"] // 2):
@@ -38,17 +39,17 @@
 
 
 def quota_violations(job: dict, used: float, limit: float | None) -> list[str]:
-    """Whether one more task of the job takes its team, which uses so many CPUs, above its limit (`quota`)."""
-    if limit is None or used + job["cpus"] <= limit + SLACK:
+    """Violation if one more task takes the job's team above its limit (`quota`); `used` and `limit` are in CPUs."""
+    if limit is None or used + job["cpus"] <= limit + CPU_TOLERANCE:
         return []
     return [f"quota: {job['crew']} uses {used + job['cpus']} of {limit}"]
 
 
 def answer_violations(ref: str, state: str, before: str | None, asked_to_cancel: bool) -> list[str]:
-    """What a job's state breaks, given what its user was told last and has asked for (`went_back`)."""
+    """Violations by a job's state, given the last state that its user was told (`went_back`)."""
     broken = []
     if state == CANCELLED and not asked_to_cancel:
-        broken.append(f"went_back: {ref} is called cancelled, which its user never asked for")
+        broken.append(f"went_back: {ref} is reported as cancelled, but its user did not cancel it")
     if before in (DONE, CANCELLED) and state != before:
         broken.append(f"went_back: {ref} {before} -> {state}")
     return broken
--- a/kelpjunction/lab/scenario.py
+++ b/kelpjunction/lab/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario: load and faults from a file, played on a simulated or a real site, with the rules checked.
+"""Scenarios: load and faults from a file, run on a simulated or a real site that checks the rules.
 
-Every job must end as it should: arrays and gangs `done`; a service with all
-its replicas running when the scenario ends, and then cancelled.
+Every array and gang must end as `done`. Every service must have all its
+replicas running when the scenario ends, and is then cancelled.
 """
 
 import tomllib
@@ -16,9 +16,9 @@
 from kelpjunction.tickets.users import is_final
 from kelpjunction.wire import users
 
-POLL_EVERY = 0.5  # seconds
-ARRIVAL_SPREAD = 1.0  # seconds that the seed may move a submission by
-CANCEL_WITHIN = 45.0
+POLL_INTERVAL_S = 0.5
+ARRIVAL_SPREAD_S = 1.0  # largest random delay of a submission
+CANCEL_TIMEOUT_S = 45.0
 
 _NUMBER = {"type": "number", "minimum": 0}
 _check = fastjsonschema.compile(
@@ -87,12 +87,12 @@
 
 
 class ScenarioError(Exception):
-    """A scenario file can't be used; the text names the field."""
+    """A scenario file is invalid; the text names the field."""
 
 
 @dataclass(slots=True)
-class Played:
-    """How a job went, in seconds since the scenario began."""
+class JobProgress:
+    """The progress of a job or a ticket; times are in seconds since the start of the scenario."""
 
     fields: dict
     submitted: float | None = None
@@ -101,12 +101,12 @@
 
 
 def load(path: Path) -> dict:
-    """Read and check a scenario; raises `ScenarioError`."""
+    """Read and validate a scenario file; raises `ScenarioError`."""
     try:
-        what = _check(tomllib.loads(path.read_text()))
-        for ticket in what["ticket"]:
+        scenario = _check(tomllib.loads(path.read_text()))
+        for ticket in scenario["ticket"]:
             ticket["template"] = (path.parent / ticket["file"]).read_text()
-        return what
+        return scenario
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ScenarioError(str(error)) from error
     except fastjsonschema.JsonSchemaValueException as error:
@@ -114,16 +114,19 @@
 
 
 class Player:
-    """Plays a scenario on a site."""
+    """Runs a scenario on a site; `tell` receives each line of progress.
+
+    Raises `ScenarioError` if a fault names a target that the site does not have.
+    """
 
     def __init__(self, site: Site, scenario: dict, tell=lambda line: None) -> None:
         self._site = site
         self._scenario = scenario
-        self._tell = tell
+        self._report_progress = tell
         self._began = site.clock.now
-        self.jobs: dict[str, Played] = {}
-        self.tickets: dict[str, Played] = {}
-        self._refused: list[str] = []  # faults that could not be
+        self.jobs: dict[str, JobProgress] = {}
+        self.tickets: dict[str, JobProgress] = {}
+        self._refused_faults: list[str] = []  # faults that were impossible when they were due
         for number, fault in enumerate(scenario["fault"]):
             try:
                 site.check_fault(fault["do"], fault["target"])
@@ -135,113 +138,113 @@
         return (self._site.clock.now - self._began).total_seconds()
 
     def play(self) -> bool:
-        """Play it all; whether every job ended as it should and no rule was broken."""
-        late = ARRIVAL_SPREAD if self._site.varied else 0.0
+        """Run the whole scenario; returns whether every job ended as required and no rule was broken."""
+        max_delay = ARRIVAL_SPREAD_S if self._site.varied else 0.0
         events = [
-            (job["at_s"] + self._site.random.uniform(0, late), self._submit, job) for job in self._scenario["job"]
+            (job["at_s"] + self._site.random.uniform(0, max_delay), self._submit, job) for job in self._scenario["job"]
         ]
-        events += [(ticket["at_s"], self._bring, ticket) for ticket in self._scenario.get("ticket", ())]
+        events += [(ticket["at_s"], self._add_ticket, ticket) for ticket in self._scenario.get("ticket", ())]
         events += [(fault["at_s"], self._fault, fault) for fault in self._scenario["fault"]]
-        for at, act, what in sorted(events, key=lambda event: event[0]):
-            self._pass(until=at)
-            act(what)
-        self._pass(until=self._scenario["until_s"], early=self._all_well)
-        self._end_services()
+        for at, act, item in sorted(events, key=lambda event: event[0]):
+            self._advance(until=at)
+            act(item)
+        self._advance(until=self._scenario["until_s"], stop=self._is_complete)
+        self._cancel_services()
         return not self.problems()
 
     def _submit(self, job: dict) -> None:
         run = (job["team"], job["shape"], job["tasks"], job["cpus"], job["memory"], job["seconds"])
-        played = self.jobs[job["ref"]] = Played(users.job_fields(job["ref"], *run))
-        self._offer(played)
+        progress = self.jobs[job["ref"]] = JobProgress(users.job_fields(job["ref"], *run))
+        self._try_submit(progress)
 
-    def _offer(self, played: Played) -> None:
-        status = self._site.submit(played.fields["ref"], **{k: v for k, v in played.fields.items() if k != "ref"})
+    def _try_submit(self, progress: JobProgress) -> None:
+        status = self._site.submit(progress.fields["ref"], **{k: v for k, v in progress.fields.items() if k != "ref"})
         if status in (200, 201):
-            played.submitted, played.state = self._now, "accepted"
-            self._tell(f"{self._now:6.1f} s  {played.fields['ref']} accepted")
+            progress.submitted, progress.state = self._now, "accepted"
+            self._report_progress(f"{self._now:6.1f} s  {progress.fields['ref']} accepted")
 
-    def _bring(self, ticket: dict) -> None:
+    def _add_ticket(self, ticket: dict) -> None:
         fields = {name: ticket[name] for name in ("id", "class", "team", "template", "parameters")}
         fields |= {"estimate_s": ticket["seconds"]}
-        self.tickets[ticket["id"]] = Played(fields)
+        self.tickets[ticket["id"]] = JobProgress(fields)
 
-    def _ask_ticket(self, played: Played) -> None:
-        """Submit a ticket until it is accepted, then ask how it stands until its one answer."""
-        name = played.fields["id"]
-        if played.submitted is None:
-            status, answer = self._site.ask_gateway("submit", orjson.dumps(played.fields))
+    def _poll_ticket(self, progress: JobProgress) -> None:
+        """Submit a ticket until it is accepted; after that, ask for its state until the state is final."""
+        name = progress.fields["id"]
+        if progress.submitted is None:
+            status, answer = self._site.ask_gateway("submit", orjson.dumps(progress.fields))
         else:
             status, answer = self._site.ask_gateway("show", name)
         if status not in (200, 201):
-            played.state = answer.get("error", played.state)
+            progress.state = answer.get("error", progress.state)
             return
-        if played.submitted is None:
-            played.submitted = self._now
-        if answer["state"] != played.state:
-            played.state = answer["state"]
-            self._tell(f"{self._now:6.1f} s  {name} {played.state}")
+        if progress.submitted is None:
+            progress.submitted = self._now
+        if answer["state"] != progress.state:
+            progress.state = answer["state"]
+            self._report_progress(f"{self._now:6.1f} s  {name} {progress.state}")
         if is_final(answer):
-            played.ended = self._now
+            progress.ended = self._now
 
     def _fault(self, fault: dict) -> None:
-        what = f"{fault['do']} {fault['target']}".rstrip()
-        self._tell(f"{self._now:6.1f} s  {what}")
+        label = f"{fault['do']} {fault['target']}".rstrip()
+        self._report_progress(f"{self._now:6.1f} s  {label}")
         try:
             self._site.fault(fault["do"], fault["target"], fault["seconds"])
         except Refused as error:
-            self._refused.append(f"fault at {fault['at_s']:g} s, {what}: {error}")
-
-    def _pass(self, until: float, early=lambda: False) -> None:
-        while self._now < until and not early():
-            self._site.run(min(POLL_EVERY, max(0.1, until - self._now)))
-            for played in self.jobs.values():
-                if played.submitted is None:
-                    self._offer(played)
-                elif played.ended is None:
-                    self._poll(played)
-            for played in self.tickets.values():
-                if played.ended is None:
-                    self._ask_ticket(played)
-
-    def _poll(self, played: Played) -> None:
-        ref = played.fields["ref"]
+            self._refused_faults.append(f"fault at {fault['at_s']:g} s, {label}: {error}")
+
+    def _advance(self, until: float, stop=lambda: False) -> None:
+        while self._now < until and not stop():
+            self._site.run(min(POLL_INTERVAL_S, max(0.1, until - self._now)))
+            for progress in self.jobs.values():
+                if progress.submitted is None:
+                    self._try_submit(progress)
+                elif progress.ended is None:
+                    self._poll(progress)
+            for progress in self.tickets.values():
+                if progress.ended is None:
+                    self._poll_ticket(progress)
+
+    def _poll(self, progress: JobProgress) -> None:
+        ref = progress.fields["ref"]
         state = self._site.poll(ref)
-        if state is not None and state != played.state:
-            played.state = state
-            self._tell(f"{self._now:6.1f} s  {ref} {state}")
+        if state is not None and state != progress.state:
+            progress.state = state
+            self._report_progress(f"{self._now:6.1f} s  {ref} {state}")
         if users.is_final({"tide": state}):
-            played.ended = self._now
+            progress.ended = self._now
 
-    def _up(self, played: Played) -> bool:
-        return len(self._site.running(played.fields["ref"] + "/")) == played.fields["fronds"]
+    def _all_replicas_running(self, progress: JobProgress) -> bool:
+        return len(self._site.running(progress.fields["ref"] + "/")) == progress.fields["fronds"]
 
-    def _services(self) -> list[Played]:
+    def _services(self) -> list[JobProgress]:
         return [p for p in self.jobs.values() if p.fields["shape"] == "service"]
 
-    def _all_well(self) -> bool:
+    def _is_complete(self) -> bool:
         left = [p for p in self.jobs.values() if p.ended is None]
         tickets = all(p.ended is not None for p in self.tickets.values())
-        return tickets and all(p.fields["shape"] == "service" and self._up(p) for p in left)
+        return tickets and all(p.fields["shape"] == "service" and self._all_replicas_running(p) for p in left)
 
-    def _end_services(self) -> None:
-        """Cancel the services; all of their replicas must go."""
-        for played in self._services():
-            if not self._up(played):
-                played.state = "not up"
+    def _cancel_services(self) -> None:
+        """Cancel the services; all of their replicas must stop."""
+        for progress in self._services():
+            if not self._all_replicas_running(progress):
+                progress.state = "not up"
                 continue
-            ref = played.fields["ref"]
-            self._site.run(CANCEL_WITHIN, lambda ref=ref: self._site.abort(ref) == 200)
-            if self._site.run(CANCEL_WITHIN, lambda ref=ref: not self._site.running(ref + "/")):
-                self._poll(played)
+            ref = progress.fields["ref"]
+            self._site.run(CANCEL_TIMEOUT_S, lambda ref=ref: self._site.abort(ref) == 200)
+            if self._site.run(CANCEL_TIMEOUT_S, lambda ref=ref: not self._site.running(ref + "/")):
+                self._poll(progress)
 
     def problems(self) -> list[str]:
-        """What did not go as it should."""
+        """Jobs and tickets that did not end as required, refused faults and broken rules."""
         left = [f"{ref}: {p.state}" for ref, p in (self.jobs | self.tickets).items() if p.ended is None]
         left += [f"{name}: {p.state}" for name, p in self.tickets.items() if p.state in ("failed", "cancelled")]
-        return left + self._refused + list(dict.fromkeys(self._site.broken))
+        return left + self._refused_faults + list(dict.fromkeys(self._site.broken))
 
     def summary(self) -> dict:
-        """The figures of the run, as `lab run --json` prints them."""
+        """The result of the run, as `lab run --json` prints it."""
         times = {
             ref: None if p.ended is None or p.submitted is None else round(p.ended - p.submitted, 1)
             for ref, p in (self.jobs | self.tickets).items()
--- a/kelpjunction/lab/service_levels.py
+++ b/kelpjunction/lab/service_levels.py
@@ -1,9 +1,9 @@
-"""Who was served: what was asked about each job and answered, and when it began.
+"""Service levels of a whole run: whether questions about jobs were answered, and when jobs began.
 
-PROTOCOL's rules are checked as things happen (`lab.site`); these judge a whole
-run: no accepted job may be forgotten, at least half of each class, of each
-team and of each class's largest jobs must be served, and the largest begin
-within four minutes of the first attempt to submit them.
+`lab.site` checks the rules of PROTOCOL while a run goes on. This module checks
+its result: no accepted job may be forgotten; at least half of the jobs of each
+class, of each team and of each class's largest jobs must have begun; and the
+largest must begin within four minutes of the first attempt to submit them.
 """
 
 from collections import defaultdict
@@ -13,29 +13,29 @@
 
 MAX_UNANSWERED_TIME = timedelta(seconds=75)
 LARGEST_JOBS_START_LIMIT = timedelta(minutes=4)
-LARGEST_SHARE = 0.1  # the cut: this part of a class's jobs, by what they ask for in all, and all that ask as much
+LARGEST_SHARE = 0.1  # of a class's jobs, by total request; jobs that tie with the smallest of these count too
 MIN_STARTED_FRACTION = 0.5
 
 
 @dataclass(slots=True)
 class _JobHistory:
-    """One job, as its user saw it."""
+    """One job as its user saw it."""
 
     klass: str
     team: str
-    size: float  # what it asks for in all: accelerators where its tasks take any, else CPUs
+    size: float  # total request: accelerators if its tasks use any, else CPUs
     submitted_at: timedelta
-    needed: int  # tasks that must have started for it to count as begun: of an array, one after the other
-    together: bool  # or all of them at once
+    needed: int  # tasks that must have started for the job to count as begun; an array's need not overlap
+    together: bool  # whether all tasks must be on machines at once
     accepted: bool = False
     cancelled: bool = False
-    asked_at: timedelta | None = None  # the first question since the last answer
+    asked_at: timedelta | None = None  # time of the first question since the last answer
     started: set[int] = field(default_factory=set)
     begun_at: timedelta | None = None
 
 
 class ServiceLevel(NamedTuple):
-    """A class, a team, or a class's largest jobs: how many were accepted, how many began, and who began late."""
+    """Accepted jobs, begun jobs and jobs that began late, of a class, a team or a class's largest jobs."""
 
     name: str
     jobs: int
@@ -48,89 +48,89 @@
 
 
 class ServiceLevelTracker:
-    """Told by a site of each submission, question, answer and start."""
+    """Tracks the submissions, questions, answers and starts of a site."""
 
     def __init__(self) -> None:
-        self._lives: dict[str, _JobHistory] = {}
-        self._troubles_over: timedelta | None = None
-        self.longest_unanswered = timedelta()  # that a job went unanswered once all troubles were over
-        self.unanswered_jobs: dict[str, timedelta] = {}  # jobs, and for how long nothing about them was answered
+        self._histories: dict[str, _JobHistory] = {}
+        self._faults_ended_at: timedelta | None = None
+        self.longest_unanswered = timedelta()  # time that a job went unanswered after all faults had ended
+        self.unanswered_jobs: dict[str, timedelta] = {}  # by job: time without an answer
 
     def submitted(self, job: dict, limit: int, now: timedelta) -> None:
-        """A first attempt to submit; `limit` is how many of its tasks its team may run at once."""
+        """Record a first attempt to submit; `limit` is the number of its tasks that its team may run at once."""
         each = job.get("accelerators") or job["cpus"]
         needed = min(job["fronds"], limit) if job["shape"] == "batch" else job["fronds"]
-        life = _JobHistory(job["stripe"], job["crew"], each * job["fronds"], now, needed, job["shape"] != "batch")
-        self._lives.setdefault(job["ref"], life)
+        history = _JobHistory(job["stripe"], job["crew"], each * job["fronds"], now, needed, job["shape"] != "batch")
+        self._histories.setdefault(job["ref"], history)
 
     def accepted(self, ref: str) -> None:
-        self._lives[ref].accepted = True
+        self._histories[ref].accepted = True
 
     def cancelled(self, ref: str) -> None:
-        """Its user was told so; a ticket's jobs are submitted by nobody here."""
-        if life := self._lives.get(ref):
-            life.cancelled = True
+        """Record that the user was told of the cancellation; jobs of tickets are unknown here and skipped."""
+        if history := self._histories.get(ref):
+            history.cancelled = True
 
     def on_faults_ended(self, now: timedelta) -> None:
-        """The last trouble has ended: from now on every question counts."""
-        self._troubles_over = now
-        for life in self._lives.values():
-            life.asked_at = None
+        """Count unanswered questions from now on, because the last fault has ended."""
+        self._faults_ended_at = now
+        for history in self._histories.values():
+            history.asked_at = None
 
     def asked(self, ref: str, answered: bool, now: timedelta) -> None:
-        """A question about a job, a repeated submission or a cancellation, and whether it was answered."""
-        life = self._lives.get(ref)
-        if life is None or self._troubles_over is None:
+        """Record a question about a job, a repeated submission or a cancellation, and whether it was answered."""
+        history = self._histories.get(ref)
+        if history is None or self._faults_ended_at is None:
             return
-        life.asked_at = now if life.asked_at is None else life.asked_at
-        unanswered = now - life.asked_at
-        if life.accepted:
+        history.asked_at = now if history.asked_at is None else history.asked_at
+        unanswered = now - history.asked_at
+        if history.accepted:
             self.longest_unanswered = max(self.longest_unanswered, unanswered)
             if unanswered >= MAX_UNANSWERED_TIME:
                 self.unanswered_jobs[ref] = unanswered
         if answered:
-            life.asked_at = None
+            history.asked_at = None
 
     def started(self, ref: str, index: int, at_once: int, now: timedelta) -> None:
-        """A task starts; `at_once` tasks of its job are on machines now, this one included."""
-        life = self._lives.get(ref)
-        if life is None:
+        """Record a task's start; `at_once` tasks of its job are on machines now, including this one."""
+        history = self._histories.get(ref)
+        if history is None:
             return
-        life.started.add(index)
-        if life.begun_at is None and (at_once if life.together else len(life.started)) >= life.needed:
-            life.begun_at = now
+        history.started.add(index)
+        if history.begun_at is None and (at_once if history.together else len(history.started)) >= history.needed:
+            history.begun_at = now
 
     def ended(self, ref: str, now: timedelta) -> None:
-        """All is done, so it has begun."""
-        life = self._lives.get(ref)
-        if life is not None and life.begun_at is None:
-            life.begun_at = now
+        """Record that a job is done, so it counts as begun."""
+        history = self._histories.get(ref)
+        if history is not None and history.begun_at is None:
+            history.begun_at = now
 
     def service_levels(self, now: timedelta) -> list[ServiceLevel]:
-        """By class, team and class's largest jobs; jobs cancelled before they began are left out."""
-        lives = {
-            ref: life
-            for ref, life in self._lives.items()
-            if life.accepted and not (life.cancelled and life.begun_at is None)
+        """Service levels by class, team and class's largest jobs, without jobs cancelled before they began."""
+        histories = {
+            ref: history
+            for ref, history in self._histories.items()
+            if history.accepted and not (history.cancelled and history.begun_at is None)
         }
         groups: dict[str, list[str]] = defaultdict(list)
         by_class: dict[str, list[str]] = defaultdict(list)
-        for ref, life in lives.items():
-            groups[life.klass].append(ref)
-            groups[f"team {life.team}"].append(ref)
-            by_class[life.klass].append(ref)
+        for ref, history in histories.items():
+            groups[history.klass].append(ref)
+            groups[f"team {history.team}"].append(ref)
+            by_class[history.klass].append(ref)
         largest: dict[str, list[str]] = {}
         for klass, refs in by_class.items():
-            sizes = sorted((lives[r].size for r in refs), reverse=True)
-            least = sizes[int(len(sizes) * LARGEST_SHARE)]
-            largest[f"largest of {klass}"] = [r for r in refs if lives[r].size >= least]
+            sizes = sorted((histories[r].size for r in refs), reverse=True)
+            min_size = sizes[int(len(sizes) * LARGEST_SHARE)]
+            largest[f"largest of {klass}"] = [r for r in refs if histories[r].size >= min_size]
         rows = []
         for name, refs in (groups | largest).items():
-            begun = [r for r in refs if lives[r].begun_at is not None]
-            late = tuple(r for r in refs if self._late(lives[r], now)) if name in largest else ()
+            begun = [r for r in refs if histories[r].begun_at is not None]
+            late = tuple(r for r in refs if self._began_late(histories[r], now)) if name in largest else ()
             rows.append(ServiceLevel(name, len(refs), len(begun), late))
         return rows
 
-    def _late(self, life: _JobHistory, now: timedelta) -> bool:
-        began = now if life.begun_at is None else life.begun_at
-        return began - life.submitted_at > LARGEST_JOBS_START_LIMIT
+    def _began_late(self, history: _JobHistory, now: timedelta) -> bool:
+        began = now if history.begun_at is None else history.begun_at
+        return began - history.submitted_at > LARGEST_JOBS_START_LIMIT
--- a/kelpjunction/lab/serving.py
+++ b/kelpjunction/lab/serving.py
@@ -1,4 +1,4 @@
-"""Stand-ins over HTTP: a server for a `handle(method, path, body) -> Reply`, and the state service with its watches."""
+"""Serves stand-ins over HTTP: any `handle(method, path, body) -> Reply`, and the state service with its watches."""
 
 import time
 from collections.abc import Callable
@@ -14,20 +14,18 @@
 from kelpjunction.transport import Reply
 
 HOST = "127.0.0.1"
-REPORT_RESPONSE_TIMEOUT = timedelta(
-    seconds=4
-)  # that a worker waits for the answer to its report, and others for its own
+REPORT_RESPONSE_TIMEOUT = timedelta(seconds=4)  # also for requests to a worker
 REASONS = {200: "200 OK", 400: "400 Bad Request", 404: "404 Not Found", 409: "409 Conflict"}
 
 Handle = Callable[[str, str, dict], Reply]
 
 
 class Refused(Exception):
-    """A fault, a setting or a port that can't be; the text says why."""
+    """A fault, setting or port was refused; the text says why."""
 
 
 def application(handle: Handle) -> Callable:
-    """A WSGI application that answers in JSON; what `handle` can't make sense of is a 400."""
+    """A WSGI application that replies in JSON, and with 400 to requests that `handle` cannot interpret."""
 
     def answer(environ, start_response):
         body = environ["wsgi.input"].read()
@@ -46,21 +44,23 @@
 
 
 def serve(handle: Handle, port: int = 0, host: str = HOST, server_class: type[WSGIServer] = WSGIServer) -> WSGIServer:
-    """A started server on loopback; port 0 takes any that is free.  Raises `Refused` if the port is taken."""
+    """Start a server, by default on loopback; port 0 takes any free port.  Raises `Refused` if the port is taken."""
     try:
-        # The library would look its name up, which takes a moment for each of thousands of machines.
+        # Without SERVER_NAME the library looks up the host name, which is slow for thousands of machines.
         server = server_class((host, port), application(handle), log=None, environ={"SERVER_NAME": host})
         server.start()
     except OSError as error:
-        raise Refused(f"port {port} is taken: another lab may be up; --port names another") from error
+        raise Refused(
+            f"port {port} is already in use, possibly by another lab; choose another port with --port"
+        ) from error
     return server
 
 
 def machine_handle(worker: WorkerStandIn, wait: Callable[[float], None] = gevent.sleep) -> Handle:
-    """What a machine answers to requests: nothing in time while it has no power or is cut off.
+    """A handler for requests to a machine, which does not reply in time while the machine is down or cut off.
 
-    What waited at a cut is carried out late, if the cut is over by then; what
-    waited at a machine that is gone never is.
+    Such a request waits for the timeout. It is then carried out, late, if the
+    machine is reachable again; a machine that is gone never carries it out.
     """
 
     def handle(method: str, path: str, body: dict) -> Reply:
@@ -74,14 +74,14 @@
 
 
 class ServedStore:
-    """The state service over HTTP: a watch waits for news, as PROTOCOL says."""
+    """The state service over HTTP: a watch waits for changes, as PROTOCOL describes."""
 
     def __init__(self, store: StoreStandIn) -> None:
         self.store = store
-        self._news = Event()
+        self._changed = Event()
 
     def handle(self, method: str, path: str, body: dict) -> Reply:
-        """Answer one request, a watch when there is news or its time is over."""
+        """Reply to one request; to a watch, when there are changes or its time is over."""
         reply = self.store.handle(method, path, body)
         if not path.startswith("/follow"):
             if method != "GET":
@@ -90,11 +90,11 @@
         wait = int(path.rpartition("hold_ms=")[2].partition("&")[0] or 0) / 1000
         until = time.monotonic() + wait
         while reply.status == 200 and not reply.fields["news"] and time.monotonic() < until:
-            self._news.wait(max(0.0, until - time.monotonic()))
+            self._changed.wait(max(0.0, until - time.monotonic()))
             reply = self.store.poll_watch(path)
         return reply
 
     def notify_watches(self) -> None:
-        """Let every watch look for news."""
-        self._news.set()
-        self._news.clear()
+        """Make every waiting watch check for changes."""
+        self._changed.set()
+        self._changed.clear()
--- a/kelpjunction/lab/site.py
+++ b/kelpjunction/lab/site.py
@@ -1,4 +1,4 @@
-"""What surrounds the nodes, whether simulated or real: the stand-ins, the users, and the rules of PROTOCOL."""
+"""The environment of simulated or real nodes: the stand-ins, the users, and checks of the rules in PROTOCOL."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -27,20 +27,20 @@
 CLOUD_LIMITS = CloudLimits(4.0, seconds(5))
 FAULTS = ("kill", "kill-leader", "start", "freeze", "outage", "lose")
 NODE_FAULTS = ("kill", "kill-leader", "start", "freeze")
-LEADER, ALL = "leader", "all"  # what may stand in place of a node's name
-RUN_SPREAD = (0.85, 1.15)  # of what a task's run is said to take
+LEADER, ALL = "leader", "all"  # accepted as a fault's target instead of a node's name
+RUN_SPREAD = (0.85, 1.15)  # factors of a task's nominal run time
 
 
 class Site:
-    """The stand-ins, what users were told, and the rules, checked at every start and every answer.
+    """The stand-ins and what users were told; checks the rules at every start of a task and every answer to a user.
 
-    Who makes one gives it a clock, whose `now` is a `timedelta`, answers `ask`
-    and `reach_node` for the nodes, and can kill, start and freeze them.
-    `broken` lists each broken rule by the name PROTOCOL gives it.  With
-    `varied`, run and boot times differ by the seed.
+    `clock.now` is a `timedelta`.  A subclass implements `ask` and `reach_node`
+    for its nodes, and the methods that kill, start and suspend nodes.  `broken`
+    lists each broken rule by the name that PROTOCOL gives it.  With `varied`,
+    the seed varies run and boot times.
     """
 
-    reports_changes = False  # with reports at their times alone, traces can be read
+    reports_changes = False  # traces are readable if workers report only at their regular times
 
     def __init__(
         self, clock, seed: int, zones: tuple[str, ...], teams: tuple[Team, ...], capacity: int, speed: float = 1.0
@@ -51,7 +51,7 @@
         self.zones = zones
         self.teams = teams
         self.node_count = 3
-        self.speed = speed  # how many times as fast tasks run and machines boot
+        self.speed = speed  # factor by which tasks run and machines boot faster
         self.varied = False
         self.store = StoreStandIn(clock)
         self.cloud = CloudStandIn(self, capacity)
@@ -64,28 +64,29 @@
         self.broken: list[str] = []
         self.service_level_tracker = ServiceLevelTracker()
         self.starvation_check = StarvationCheck()
-        self.started_late: list[str] = []  # tasks started after their user was told of the cancellation: counted only
+        # Tasks started after their user was told of the cancellation.  Such a start alone breaks no rule.
+        self.started_late: list[str] = []
 
     def ask(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int, dict]:
-        """A user's request, to a node of this name or to any: status and answer.
+        """Send a user's request to the named node or, without a name, to any; returns status and answer.
 
-        Raises `NoResponse` if none takes it.
+        Raises `NoResponse` if no node accepts the connection.
         """
         raise NotImplementedError
 
-    def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
-        """A ticket user's request to this gateway or to any: `submit` (a body), `show` or `cancel` (an id).
+    def ask_gateway(self, action: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
+        """Send a ticket user's request to the named gateway or to any: `submit` (a body), `show` or `cancel` (an id).
 
-        None stands for the status if no gateway takes the connection.
+        Returns status and answer; the status is None if no gateway accepts the connection.
         """
         return None, {}
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
-        """A worker's report to the node of this number; raises `NoResponse`."""
+        """Send a worker's report to the node of this number; raises `NoResponse` if it cannot be reached."""
         raise NotImplementedError
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
-        """Carry a worker's report to its node, and the answer back."""
+        """Send a worker's report to its node and hand the response to the worker."""
         sent_at = self.clock.now
         try:
             status, answer = self.reach_node(worker, worker.node, fields)
@@ -99,11 +100,11 @@
         return tuple(f"holdfast-{number}" for number in range(self.node_count))
 
     def runs(self, name: str) -> bool:
-        """Whether the node's process is there, frozen or not."""
+        """Whether the node's process exists, suspended or not."""
         raise NotImplementedError
 
     def leader_name(self) -> str | None:
-        """The node that leads, if any does."""
+        """The name of the leader, if there is one."""
         raise NotImplementedError
 
     def start_node(self, name: str) -> Any:
@@ -113,33 +114,33 @@
         raise NotImplementedError
 
     def suspend_node(self, name: str, duration: float) -> None:
-        """Let a running node stand still for `duration` seconds, while time goes on for all others."""
+        """Suspend a running node for `duration` seconds while everything else runs."""
         raise NotImplementedError
 
     def run_after(self, duration: float, act: Callable[[], None]) -> None:
-        """Do this in `duration` seconds; never if that is 0."""
+        """Call `act` in `duration` seconds; with 0, never call it."""
         raise NotImplementedError
 
     # -- faults ---------------------------------------------------------------
 
     def check_fault(self, do: str, target: str) -> None:
-        """Whether such a fault can ever be; raises `Refused`, which names what there is."""
+        """Raise `Refused`, with the possible values, if the fault or its target is unknown on this site."""
         if do not in FAULTS:
             raise Refused(f"unknown fault {do!r}: {', '.join(FAULTS)}")
         if do in NODE_FAULTS and do != "kill-leader":
-            known, what = (*self.node_names, LEADER, ALL), "node"
+            known, kind = (*self.node_names, LEADER, ALL), "node"
         elif do == "lose":
-            known, what = self.zones, "zone"
+            known, kind = self.zones, "zone"
         else:
-            known, what = ("",), f"target of {do}"
+            known, kind = ("",), f"target of {do}"
         if target not in known:
-            raise Refused(f"unknown {what} {target!r}: {', '.join(known) or 'it takes none'}")
+            raise Refused(f"unknown {kind} {target!r}: {', '.join(known) or 'it takes none'}")
 
     def fault(self, do: str, target: str = "", duration: float = 0.0) -> None:
-        """Cause one of `FAULTS`, ending it by itself after `duration` seconds where it lasts and that is not 0.
+        """Cause one of `FAULTS`; one that lasts ends after `duration` seconds, or not by itself if that is 0.
 
-        Raises `Refused` if it can't be, with nothing done: a fault that is
-        passed over in silence proves nothing.
+        Raises `Refused` and does nothing if the fault is impossible now: a
+        test with a fault that was silently skipped would prove nothing.
         """
         self.check_fault(do, target)
         if do == "outage":
@@ -148,7 +149,7 @@
         elif do == "lose":
             self.lose(target)
         else:
-            for name in self._struck(do, target):
+            for name in self._affected_nodes(do, target):
                 if do == "start":
                     self.start_node(name)
                 elif do == "freeze":
@@ -157,62 +158,62 @@
                     self.kill_node(name)
                     self.run_after(duration, lambda name=name: self.runs(name) or self.start_node(name))
 
-    def _struck(self, do: str, target: str) -> list[str]:
-        """The nodes that a fault falls on now."""
+    def _affected_nodes(self, do: str, target: str) -> list[str]:
+        """The nodes that a fault affects now; raises `Refused` if there are none."""
         if target == LEADER or do == "kill-leader":
             target = self.leader_name()
             if target is None:
                 raise Refused("nobody leads now")
-        able = [n for n in self.node_names if self.runs(n) is not (do == "start")]
-        struck = able if target == ALL else [n for n in able if n == target]
-        if not struck:
+        candidates = [n for n in self.node_names if self.runs(n) is not (do == "start")]
+        affected = candidates if target == ALL else [n for n in candidates if n == target]
+        if not affected:
             which = "every node" if target == ALL else target
             raise Refused(f"{which} {'runs already' if do == 'start' else 'does not run'}")
-        return struck
+        return affected
 
     def run(self, duration: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let `duration` seconds pass, or fewer if `until` comes true; whether it did."""
+        """Run for `duration` seconds, or until `until` is true; returns whether it became true."""
         raise NotImplementedError
 
     def lose(self, zone: str) -> None:
-        """All machines of a zone die, with what is on them."""
+        """Kill all machines of a zone and the tasks on them."""
         for worker, _ in self.cloud.machines.values():
             if worker.zone == zone:
                 worker.die()
 
     def make_worker(self, name: str, zone: str, spot: bool) -> WorkerStandIn:
-        """A machine's worker, which the cloud asks for when it rents the machine out."""
+        """Create the worker of a machine that the cloud rents out."""
         return WorkerStandIn(self, name, zone, spot)
 
     def address_of(self, worker: WorkerStandIn, number: int) -> str:
-        """Where the worker of the machine of this number listens."""
+        """The address at which the worker of the machine of this number listens."""
         return f"10.1.0.{number}:9000"
 
     def number_of(self, node: str | None) -> int | None:
-        """The number of a node by its name; None for one that is unknown."""
+        """The number of the node with this name; None if the name is unknown."""
         return node_number(node, self.node_count)
 
     def vary(self, spread: tuple[float, float]) -> float:
-        """By how much a time differs from what is said of it: between these two, by the seed."""
+        """A random factor within `spread` for a nominal time; 1.0 unless `varied`."""
         return self.random.uniform(*spread) if self.varied else 1.0
 
     def job(self, ref: str) -> dict:
-        """What the user uploaded; of jobs that came another way, what the nodes stored."""
+        """The fields that the user submitted; for a job from another source, the fields that the nodes stored."""
         if ref not in self.jobs:
             self.jobs[ref] = self.store.data[f"l/job/{ref}"][0]["spec"]
         return self.jobs[ref]
 
     # -- users ----------------------------------------------------------------
 
-    def _asked(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int | None, dict]:
-        """`ask`, with None for the status where no node takes the connection."""
+    def _try_ask(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int | None, dict]:
+        """Call `ask`; the status is None if no node accepts the connection."""
         try:
             return self.ask(method, path, body, node)
         except NoResponse:
             return None, {}
 
     def submit(self, ref: str, tasks: int = 1, node: str | None = None, **fields) -> int | None:
-        """Submit a job through a node; returns the status, None if no node takes the connection."""
+        """Submit a job through a node; returns the status, or None if no node accepts the connection."""
         job = {
             "ref": ref, "stripe": "class", "crew": "red", "shape": "batch", "urgency": "standard", "fronds": tasks,
             "cpus": 2.0, "accelerators": 0.0, "ram_gb": 4.0, "bundle": "img", "image_gb": 1.0, "expect_s": 10.0,
@@ -221,26 +222,26 @@
         if ref not in self.jobs:
             self.service_level_tracker.submitted(job, self._limit_of(job), self.clock.now)
         self.jobs[ref] = job
-        status, answer = self._asked("POST", JOBS_PATH, orjson.dumps(job), node)
+        status, answer = self._try_ask("POST", JOBS_PATH, orjson.dumps(job), node)
         self.service_level_tracker.asked(ref, status in (200, 201), self.clock.now)
         if status == 201 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref} accepted twice")
         if status in (200, 201):
             self.last_told_state.setdefault(ref, "accepted")
             self.service_level_tracker.accepted(ref)
-            self._hear(ref, answer)
+            self._check_state(ref, answer)
         elif status in (400, 422) and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref} was accepted and is refused now")
         return status
 
     def _limit_of(self, job: dict) -> int:
-        """How many of its tasks its team's limit allows at once."""
+        """The number of the job's tasks that its team's limit allows at once."""
         limit = next((t.cpus_max for t in self.teams if t.name == job["crew"]), None)
         return job["fronds"] if limit is None else int(limit / job["cpus"])
 
     def poll(self, ref: str, node: str | None = None) -> str | None:
-        """A job's state as a user is told it, checked against what was told before."""
-        status, answer = self._asked("GET", f"{JOBS_PATH}/{ref}", b"", node)
+        """Ask for a job's state as its user, and check it against earlier answers; None if the state is not known."""
+        status, answer = self._try_ask("GET", f"{JOBS_PATH}/{ref}", b"", node)
         self.service_level_tracker.asked(ref, status == 200, self.clock.now)
         if status == 404 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref}")
@@ -249,10 +250,10 @@
         if ref not in self.jobs:
             self.broken.append(f"invented: {ref}")
             return None
-        return self._hear(ref, answer)
+        return self._check_state(ref, answer)
 
-    def _hear(self, ref: str, answer: dict) -> str:
-        """Any answer that tells how a job stands, checked against what was told before."""
+    def _check_state(self, ref: str, answer: dict) -> str:
+        """Check a job's state in an answer against earlier answers, and return it."""
         state = answer["tide"]
         before = self.last_told_state.get(ref)
         self.broken += answer_violations(ref, state, before, ref in self.asked_to_cancel)
@@ -266,17 +267,17 @@
 
     def abort(self, ref: str, node: str | None = None) -> int | None:
         self.asked_to_cancel.add(ref)
-        status, answer = self._asked("POST", f"{JOBS_PATH}/{ref}{ABORT_END}", b"", node)
+        status, answer = self._try_ask("POST", f"{JOBS_PATH}/{ref}{ABORT_END}", b"", node)
         self.service_level_tracker.asked(ref, status == 200, self.clock.now)
         if status == 404 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref}")
-        if status == 200 and self._hear(ref, answer) == "withdrawn":
+        if status == 200 and self._check_state(ref, answer) == "withdrawn":
             self.told_cancelled.setdefault(ref, self.clock.now)
             self.service_level_tracker.cancelled(ref)
         return status
 
     def ask_all_nodes(self, ref: str) -> list[str | None]:
-        """A user asks every node at once how a job stands, by a question and by repeating the submission."""
+        """Ask every node for a job's state and repeat the submission there; returns the states that were told."""
         job = self.jobs[ref]
         told = []
         for name in self.node_names:
@@ -292,46 +293,46 @@
     # -- rules ----------------------------------------------------------------
 
     def running(self, ref: str = "") -> list[tuple[str, str]]:
-        """What is on which machine: (task, machine)."""
-        return sorted((frond, w.name) for frond, w in self._live() if frond.startswith(ref))
+        """The tasks on machines, as pairs (task, machine)."""
+        return sorted((task_id, w.name) for task_id, w in self._live_tasks() if task_id.startswith(ref))
 
-    def _live(self) -> Iterator[tuple[str, WorkerStandIn]]:
+    def _live_tasks(self) -> Iterator[tuple[str, WorkerStandIn]]:
         for worker, _ in self.cloud.machines.values():
-            for (frond, _), task in worker.tasks.items():
+            for (task_id, _), task in worker.tasks.items():
                 if task["tide"] != "exited":
-                    yield frond, worker
+                    yield task_id, worker
 
-    def start(self, worker: WorkerStandIn, frond: str, attempt: int) -> dict:
-        """A worker starts a task: the moment to check the rules."""
-        ref = frond.partition("/")[0]
+    def start(self, worker: WorkerStandIn, task_id: str, attempt: int) -> dict:
+        """Check the rules for a task that a worker starts, and return the task's fields as the worker keeps them."""
+        ref = task_id.partition("/")[0]
         job = self.job(ref)
-        self.starts.append(frond)
-        mates = [PlacedTask(f, w.name, w.zone) for f, w in self._live() if f.startswith(ref + "/")]
-        there = PlacedTask(frond, worker.name, worker.zone)
-        self.broken += start_violations(job, there, worker.spot, mates)
+        self.starts.append(task_id)
+        other_tasks = [PlacedTask(f, w.name, w.zone) for f, w in self._live_tasks() if f.startswith(ref + "/")]
+        start = PlacedTask(task_id, worker.name, worker.zone)
+        self.broken += start_violations(job, start, worker.spot, other_tasks)
         self._check_quota(job)
         self._check_cancelled(ref)
         if ref in self.told_cancelled:
-            self.started_late.append(frond)
-        self.service_level_tracker.started(ref, int(frond.partition("/")[2]), len(mates) + 1, self.clock.now)
+            self.started_late.append(task_id)
+        self.service_level_tracker.started(ref, int(task_id.partition("/")[2]), len(other_tasks) + 1, self.clock.now)
         run = seconds(job.get("run_s", job.get("expect_s") or 10.0)) / self.speed * self.vary(RUN_SPREAD)
         ready = self.clock.now + seconds(1) / self.speed
         ends = None if job["shape"] == "service" else ready + run
         return {"tide": "pulling", "ready": ready, "ends": ends, "job": job}
 
-    def exited(self, worker: WorkerStandIn, frond: str, cause: str) -> None:
-        """A task has exited."""
+    def exited(self, worker: WorkerStandIn, task_id: str, cause: str) -> None:
+        """Record that a task has exited."""
         if cause == "done":
-            self.finished.add(frond)
+            self.finished.add(task_id)
 
     def cleared(self, worker: WorkerStandIn) -> None:
-        """All tasks of a worker are gone; what is where is read from the workers when it is asked for."""
+        """All tasks of a worker are gone.  Nothing to do: `running` reads the tasks from the workers."""
 
     def _check_quota(self, job: dict) -> None:
         limit = next(t.cpus_max for t in self.teams if t.name == job["crew"])
         if limit is None:
             return
-        owners = (self.job(f.partition("/")[0]) for f, _ in self._live())
+        owners = (self.job(f.partition("/")[0]) for f, _ in self._live_tasks())
         used = sum(owner["cpus"] for owner in owners if owner["crew"] == job["crew"])
         self.broken += quota_violations(job, used, limit)
 
--- a/kelpjunction/lab/starvation.py
+++ b/kelpjunction/lab/starvation.py
@@ -1,7 +1,7 @@
-"""Jobs left waiting though they could run: none may for 90 s once all troubles are over.
+"""Finds starved jobs: jobs that wait for 90 s although they could run, after all faults have ended.
 
-PROTOCOL's operators add to its rules: no job waits for 90 s while a machine that fits it has room
-and its team is under its limit.  Judged from outside, by what stands on the machines.
+The rule is an addition of the operators to those of PROTOCOL: no job waits for 90 s while a suitable machine
+has room and its team is below its limit.  The check uses only the tasks on machines, not the state of the nodes.
 """
 
 from collections import Counter
@@ -17,30 +17,31 @@
 
 
 class StarvationCheck:
-    """Looked at about once a second by a site; judges nothing before the troubles are over."""
+    """Called by a site about once a second; checks nothing until `enabled` is set when all faults have ended."""
 
     def __init__(self) -> None:
-        self._since: dict[str, tuple[timedelta, int]] = {}  # and how many starts the job had had by then
+        # By job: since when it could start, and its number of starts at that time.
+        self._startable_since: dict[str, tuple[timedelta, int]] = {}
         self.enabled = False
-        self.starved_jobs: dict[str, timedelta] = {}  # jobs, and for how long at the most they waited beside room
+        self.starved_jobs: dict[str, timedelta] = {}  # by job: how long it has waited although there was room
 
     def observe(self, site: "Site") -> None:
-        """Note who could start now, and for how long that has been so without a break or a start."""
+        """Update for how long each job could have started without interruption and without a start."""
         if not self.enabled:
             return
         now = site.clock.now
-        starts = Counter(frond.partition("/")[0] for frond in site.starts)
-        before, self._since = self._since, {}
-        for ref in self._able(site):
-            since, seen = before.get(ref, (now, starts[ref]))
-            self._since[ref] = (since, seen) if seen == starts[ref] else (now, starts[ref])
-        for ref, (since, _) in self._since.items():
+        starts = Counter(task_id.partition("/")[0] for task_id in site.starts)
+        before, self._startable_since = self._startable_since, {}
+        for ref in self._startable_jobs(site):
+            since, starts_before = before.get(ref, (now, starts[ref]))
+            self._startable_since[ref] = (since, starts_before) if starts_before == starts[ref] else (now, starts[ref])
+        for ref, (since, _) in self._startable_since.items():
             if now - since >= STARVATION_LIMIT:
                 self.starved_jobs[ref] = now - since
 
-    def _able(self, site: "Site") -> Iterator[str]:
-        """Jobs of which a task, or the whole gang, waits while there is room for it."""
-        placed = [(frond.partition("/")[0], worker) for frond, worker in site._live()]
+    def _startable_jobs(self, site: "Site") -> Iterator[str]:
+        """Jobs with a waiting task, or a waiting gang, for which there is room."""
+        placed = [(task_id.partition("/")[0], worker) for task_id, worker in site._live_tasks()]
         free = {
             worker.name: [site.cloud.cpus, site.cloud.memory_gb, worker]
             for worker, _ in site.cloud.machines.values()
@@ -62,32 +63,34 @@
             if worker.name in free:
                 free[worker.name][0] -= job["cpus"]
                 free[worker.name][1] -= job["ram_gb"]
-        there = Counter(ref for ref, _ in placed)
-        done = Counter(frond.partition("/")[0] for frond in site.finished)
+        placed_count = Counter(ref for ref, _ in placed)
+        done = Counter(task_id.partition("/")[0] for task_id in site.finished)
         limits = {t.name: t.cpus_max for t in site.teams}
-        for ref, told in site.last_told_state.items():
+        for ref, told_state in site.last_told_state.items():
             job = site.jobs[ref]
-            if told != "accepted" or ref in site.asked_to_cancel:
+            if told_state != "accepted" or ref in site.asked_to_cancel:
                 continue
             gang = job["shape"] == "ensemble"
-            waiting = job["fronds"] - done[ref] - there[ref]
+            waiting = job["fronds"] - done[ref] - placed_count[ref]
             at_once = job["fronds"] if gang else 1
             limit = limits[job["crew"]]
-            if waiting <= 0 or (gang and (there[ref] or done[ref])):
+            if waiting <= 0 or (gang and (placed_count[ref] or done[ref])):
                 continue
             if limit is not None and used[job["crew"]] + at_once * job["cpus"] > limit + 1e-6:
                 continue
             if self._slots(job, free.values(), zones.get(ref, Counter())) >= at_once:
                 yield ref
 
-    def _slots(self, job: dict, free, mates: Counter[str]) -> int:
-        """How many tasks of the job find room now, in one zone where it must be one."""
-        most = -(-job["fronds"] // 2) if job.get("apart") else job["fronds"]
+    def _slots(self, job: dict, free, placed_by_zone: Counter[str]) -> int:
+        """The number of the job's tasks that fit now, within one zone if it needs a single zone."""
+        max_per_zone = -(-job["fronds"] // 2) if job.get("apart") else job["fronds"]
         slots: Counter[str] = Counter()
         for cpus, memory, worker in free:
-            if self._allowed(job, worker) and (not job.get("together") or not mates or worker.zone in mates):
+            if self._allowed(job, worker) and (
+                not job.get("together") or not placed_by_zone or worker.zone in placed_by_zone
+            ):
                 slots[worker.zone] += int(min(cpus / job["cpus"], memory / job["ram_gb"]) + 1e-6)
-        by_zone = [min(n, max(0, most - mates[zone])) for zone, n in slots.items()]
+        by_zone = [min(n, max(0, max_per_zone - placed_by_zone[zone])) for zone, n in slots.items()]
         return max(by_zone, default=0) if job.get("together") else sum(by_zone)
 
     def _allowed(self, job: dict, worker: "WorkerStandIn") -> bool:
--- a/kelpjunction/lab/store.py
+++ b/kelpjunction/lab/store.py
@@ -14,15 +14,15 @@
 from kelpjunction.settings import StoreLimits
 from kelpjunction.transport import Reply
 
-MAX_CHARACTER = "\U0010ffff"
+LAST_CHARACTER = "\U0010ffff"
 USUAL_LIMITS = StoreLimits(rps=250.0, write_rps=100.0, value_bytes=8192, txn_ops=12)
-MAX_TRANSACTION_BYTES = 64 * 1024  # of a transaction
-MAX_GUARDS_PER_CHANGE = 4  # conditions, for each change that a transaction may have
-HISTORY_LIMIT_CHANGES = 10_000  # that a watch may lag behind, as PROTOCOL says
+MAX_TRANSACTION_BYTES = 64 * 1024
+MAX_GUARDS_PER_CHANGE = 4  # conditions of a transaction, for each change that it may have
+HISTORY_LIMIT_CHANGES = 10_000  # by which a watch may lag, from PROTOCOL
 
 
 class StoreStandIn:
-    """The state service: keys, holds, follow."""
+    """The state service: keys, leases and watches."""
 
     def __init__(self, clock) -> None:
         self.clock = clock
@@ -32,16 +32,16 @@
         self.leases: dict[int, tuple[timedelta, timedelta]] = {}
         self.next_lease_id = 1
         self.is_down = False
-        self.limits: StoreLimits | None = None  # rates to hold the nodes to, if any
-        self.reject_all = False  # everything, as if others took the whole rate
-        self.rejected_requests = self.applied_changes = 0  # requests answered 429, and changes applied
-        self._left: dict[str, tuple[timedelta, float]] = {}
-        self.compacted_revision = 0  # changes up to this revision are not told any more
-        self.on_set: Callable[[str, Any], None] = lambda key, value: None  # told of each change as it is applied
+        self.limits: StoreLimits | None = None  # rates to enforce; None for no limit
+        self.reject_all = False  # reject every request, as if other clients used up the rate
+        self.rejected_requests = self.applied_changes = 0  # `rejected_requests` were answered with 429
+        self._rate_levels: dict[str, tuple[timedelta, float]] = {}
+        self.compacted_revision = 0  # watches cannot start before this revision
+        self.on_set: Callable[[str, Any], None] = lambda key, value: None  # called for each change as it is applied
 
     @property
     def bounds(self) -> StoreLimits:
-        """What one request may hold: the nodes are to keep to it, whether or not rates are held to."""
+        """The size limits of a request, which apply whether or not rates are enforced."""
         return self.limits or USUAL_LIMITS
 
     @property
@@ -58,7 +58,7 @@
             return Reply(503, {})
         self.expire_leases()
         changes = len(body.get("then", ()))
-        if self.reject_all or not self._admits(changes):
+        if self.reject_all or not self._is_within_rates(changes):
             self.rejected_requests += 1
             return Reply(429, {})
         self.applied_changes += changes
@@ -67,18 +67,18 @@
         if url.path == "/commit":
             return self._commit(body)
         if url.path == "/follow":
-            return self._news(query["prefix"], int(query["since"]))
+            return self._changes_since(query["prefix"], int(query["since"]))
         if url.path == "/holds":
-            hold, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
+            lease_id, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
             ttl = timedelta(milliseconds=body["ttl_ms"])
-            self.leases[hold] = (self.clock.now + ttl, ttl)
-            return Reply(200, {"mooring": hold})
+            self.leases[lease_id] = (self.clock.now + ttl, ttl)
+            return Reply(200, {"mooring": lease_id})
         if url.path.startswith("/holds/"):
-            hold = int(url.path.split("/")[2])
-            if hold not in self.leases:
+            lease_id = int(url.path.split("/")[2])
+            if lease_id not in self.leases:
                 return Reply(404, {})
-            self.leases[hold] = (self.clock.now + self.leases[hold][1], self.leases[hold][1])
-            return Reply(200, {"mooring": hold})
+            self.leases[lease_id] = (self.clock.now + self.leases[lease_id][1], self.leases[lease_id][1])
+            return Reply(200, {"mooring": lease_id})
         if url.path == "/store":
             return self._page(query["prefix"], query.get("since", ""), int(query["most"]))
         key = url.path.removeprefix("/store/")
@@ -87,41 +87,44 @@
         return Reply(200, {"key": key, "data": self.data[key][0], "stamp": self.data[key][1]})
 
     def poll_watch(self, path: str) -> Reply:
-        """What an open watch would be told now: it stays open in an outage, and opening it alone was a request."""
+        """The reply to an open watch now.
+
+        A watch stays open in an outage.  Only opening it counts as a request.
+        """
         query = {k: v[0] for k, v in parse_qs(urlsplit(path).query).items()}
         if self.is_down:
             return Reply(200, {"ledger": int(query["since"]), "news": []})
-        return self._news(query["prefix"], int(query["since"]))
+        return self._changes_since(query["prefix"], int(query["since"]))
 
-    def _news(self, prefix: str, since: int) -> Reply:
-        """The changes below a prefix after a revision."""
+    def _changes_since(self, prefix: str, since: int) -> Reply:
+        """The changes of keys with a prefix after a revision; 410 if they were compacted."""
         if since < self.compacted_revision:
             return Reply(410, {"ledger": self.revision})
-        news = [
+        changes_found = [
             {"delete": k, "stamp": r} if v is None else {"set": k, "data": v, "stamp": r}
             for r, k, v in self.history[bisect_right(self.history, since, key=itemgetter(0)) :]
             if k.startswith(prefix)
         ]
-        return Reply(200, {"ledger": self.revision, "news": news})
+        return Reply(200, {"ledger": self.revision, "news": changes_found})
 
     def _page(self, prefix: str, since: str, most: int) -> Reply:
-        """So many keys with the prefix, in key order, behind the key `since`."""
-        keys = self.data.irange(max(prefix, since), prefix + MAX_CHARACTER, inclusive=(since < prefix, True))
+        """Up to `most` keys with the prefix, in key order, after the key `since`."""
+        keys = self.data.irange(max(prefix, since), prefix + LAST_CHARACTER, inclusive=(since < prefix, True))
         page = list(islice(keys, most + 1))
         pairs = [{"key": k, "data": self.data[k][0], "stamp": self.data[k][1]} for k in page[:most]]
         return Reply(200, {"pairs": pairs, "has_next": len(page) > most, "ledger": self.revision})
 
-    def _admits(self, changes: int) -> bool:
-        """Whether the rates have room for a request with so many changes: each allows a second's worth at once."""
+    def _is_within_rates(self, changes: int) -> bool:
+        """Whether the rates allow a request with this many changes; each rate allows a burst of one second's worth."""
         if self.limits is None:
             return True
-        left = {}
-        for name, rate, asked in (("requests", self.limits.rps, 1), ("changes", self.limits.write_rps, changes)):
-            at, level = self._left.get(name, (self.clock.now, rate))
-            left[name] = min(rate, level + rate * (self.clock.now - at).total_seconds()) - asked
-        if any(level < 0 for level in left.values()):
+        levels = {}
+        for name, rate, cost in (("requests", self.limits.rps, 1), ("changes", self.limits.write_rps, changes)):
+            updated_at, level = self._rate_levels.get(name, (self.clock.now, rate))
+            levels[name] = min(rate, level + rate * (self.clock.now - updated_at).total_seconds()) - cost
+        if any(level < 0 for level in levels.values()):
             return False
-        self._left = {name: (self.clock.now, level) for name, level in left.items()}
+        self._rate_levels = {name: (self.clock.now, level) for name, level in levels.items()}
         return True
 
     def _commit(self, body: dict) -> Reply:
@@ -144,34 +147,34 @@
                 self._set(change["delete"], None, None)
         return Reply(200, {"ledger": self.revision})
 
-    def _set(self, key: str, value: object, hold: int | None) -> None:
+    def _set(self, key: str, value: object, lease_id: int | None) -> None:
         if value is None:
             if self.data.pop(key, None) is None:
                 return
         else:
-            self.data[key] = (value, self.revision, hold)
+            self.data[key] = (value, self.revision, lease_id)
         self.history.append((self.revision, key, value))
         if len(self.history) > 2 * HISTORY_LIMIT_CHANGES:
-            self._trim()
+            self._trim_history()
         self.on_set(key, value)
 
-    def _trim(self) -> None:
-        """Forget all but the latest changes; what was forgotten of is forgotten up to a whole revision."""
+    def _trim_history(self) -> None:
+        """Drop all but the latest changes.  If part of a revision is dropped, the whole revision is."""
         self.compacted_revision = self.history[-HISTORY_LIMIT_CHANGES][0]
         self.history = [
             change for change in self.history[-HISTORY_LIMIT_CHANGES:] if change[0] > self.compacted_revision
         ]
 
     def expire_leases(self) -> None:
-        for hold, (end, _) in list(self.leases.items()):
+        for lease_id, (end, _) in list(self.leases.items()):
             if self.clock.now > end:
-                del self.leases[hold]
-                for key in [k for k, v in self.data.items() if v[2] == hold]:
+                del self.leases[lease_id]
+                for key in [k for k, v in self.data.items() if v[2] == lease_id]:
                     self.revision += 1
                     self._set(key, None, None)
 
     def compact(self) -> None:
-        """As the service does with all but its latest changes."""
+        """Drop the whole history, as the service does with all but its latest changes."""
         self.compacted_revision, self.history = self.revision, []
 
     def outage(self, on: bool) -> None:
--- a/kelpjunction/lab/table.py
+++ b/kelpjunction/lab/table.py
@@ -3,7 +3,7 @@
 from rich.console import Group
 from rich.table import Table
 
-MOST_JOBS = 15
+MAX_JOBS_SHOWN = 15
 
 
 def _table(title: str, *columns: str) -> Table:
@@ -14,7 +14,7 @@
 
 
 def render(status: dict) -> Group:
-    """What `LiveSite.status` tells, for a terminal."""
+    """Render the result of `LiveSite.status` for a terminal."""
     nodes = _table(f"Nodes, state service {status['state']}", "node", "process", "leads", "blocks")
     for name, state in status["nodes"].items():
         blocks = ", ".join(zone for zone, holder in status["blocks"].items() if holder == name)
@@ -27,7 +27,7 @@
     for zone, count in status["machines"].items():
         zones.add_row(zone, str(count))
     jobs = _table(f"Jobs: {len(status['jobs'])} live, {len(status['ended'])} ended", "job", "team", "shape", "running")
-    for ref, job in list(status["jobs"].items())[-MOST_JOBS:]:
+    for ref, job in list(status["jobs"].items())[-MAX_JOBS_SHOWN:]:
         jobs.add_row(ref, job["team"], job["shape"], f"{job['running']} of {job['tasks']}")
     broken = [f"[red]broken: {rule}[/red]" for rule in status["broken"][-3:]]
     return Group(nodes, teams, zones, jobs, *broken)
--- a/kelpjunction/lab/ticket_simulation.py
+++ b/kelpjunction/lab/ticket_simulation.py
@@ -1,9 +1,10 @@
-"""Ticket gateways in the simulated world, and a mixed run of tickets and native jobs through kills and outages.
+"""A simulation of ticket gateways: tickets and native jobs run together through kills and outages.
 
-Clients crash after they sent a ticket and send it again, through another
-gateway; gateways are killed at any request they send.  At the end each run
-that was ever accepted must have one final answer, each ticket as many runs as
-its class allows, and each step must have started after those it depends on.
+Clients crash after they have sent a ticket and send it again through another
+gateway. Gateways are killed at any request that they send. At the end, each
+accepted run must have exactly one final answer, each ticket must have had no
+more runs than its class allows, and each step must have started after the steps
+that it depends on.
 """
 
 import random
@@ -28,7 +29,7 @@
 from kelpjunction.tickets.users import is_final
 from kelpjunction.transport import Reply
 
-BROKEN_IMAGE = "broken"  # a job with this image fails wherever it is put
+BROKEN_IMAGE = "broken"  # a job with this image fails on every machine
 TEAMS = (Team("farm", 16.0, 0.0, None, None), Team("native", 16.0, 0.0, 40.0, None))
 RERUN_PAUSE = seconds(20)
 
@@ -53,27 +54,27 @@
 
 
 class Killed(Exception):
-    """A gateway's process ended at this request."""
+    """A gateway's process was killed at this request."""
 
 
 class TicketWorld(World):
-    """The simulated world with ticket gateways; the wire's spellings are the nodes' own."""
+    """The simulated site with ticket gateways, which use the field names of the nodes' wire format."""
 
     def __init__(self, gateways: int = 2, classes: dict[str, TicketClass] = CLASSES, **world: Any) -> None:
         super().__init__(**world)
         self.classes = classes
         self.gateways: dict[str, Gateway | None] = {}
         self.paused_until: dict[str, timedelta] = {}
-        # Whether a gateway ends before or after this request of its is carried out, if at all.
+        # Whether a gateway is killed at this request: "before" or "after" it is carried out, or None.
         self.kill_decision = lambda name, path: None
         for number in range(gateways):
             self.start_gateway(f"gate-{number}")
 
     def start_gateway(self, name: str) -> Gateway:
-        links = _KillableLink(self, name)
+        transport = _KillableTransport(self, name)
         settings = TicketSettings(name, "127.0.0.1:0", 20_000, 500_000, self.classes)
         gateway = Gateway(
-            self.platform("holdfast-0"), self.operators, settings, links, (links, links), self.clock,
+            self.platform("holdfast-0"), self.operators, settings, transport, (transport, transport), self.clock,
             lambda function, *args: function(*args), lambda duration: None, random.Random(self.random.random()),
         )  # fmt: skip
         self.gateways[name] = gateway
@@ -88,29 +89,32 @@
         while self.clock.now < end:
             super().run(0.1)
             for name, gateway in list(self.gateways.items()):
-                if gateway is not None and self._awake(name):
-                    self.run_killable(name, lambda gateway=gateway: self._turn(gateway))
+                if gateway is not None and self._is_unpaused(name):
+                    self.run_killable(name, lambda gateway=gateway: self._step_gateway(gateway))
             if until is not None and until():
                 return True
         return until is None
 
-    def _awake(self, name: str) -> bool:
+    def _is_unpaused(self, name: str) -> bool:
         return self.paused_until.get(name, self.clock.now) <= self.clock.now
 
-    def _turn(self, gateway: Gateway) -> None:
-        # Driving first: one that stood still goes on with what it believed.
+    def _step_gateway(self, gateway: Gateway) -> None:
+        # Reconcile first: a gateway that was paused must continue with its old state.
         for _ in range(4):
             if not gateway.reconcile():
                 break
         gateway.follow(gateway.jobs)
         gateway.follow(gateway.tickets)
-        if self._beats % 5 == 0:
+        if self._step_count % 5 == 0:
             gateway.leadership.run_once()
-        if self._beats % 100 == 0:
+        if self._step_count % 100 == 0:
             gateway.sweep()
 
     def run_killable(self, name: str, act):
-        """What a gateway does; if it is killed over it, it is gone until it is started again."""
+        """Run an action of a gateway; if it is killed in the action, start it again 1 to 8 seconds later.
+
+        Returns the result of `act`, or None if the gateway was killed.
+        """
         try:
             return act()
         except Killed:
@@ -118,12 +122,14 @@
             self.run_after(self.random.uniform(1, 8), lambda: self.gateways[name] or self.start_gateway(name))
             return None
 
-    def ask_gateway(self, what: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
-        able = [n for n, g in self.gateways.items() if g is not None and n == (name or n) and self._awake(n)]
-        if not able:
+    def ask_gateway(self, action: str, argument: bytes | str, name: str | None = None) -> tuple[int | None, dict]:
+        candidates = [
+            n for n, g in self.gateways.items() if g is not None and n == (name or n) and self._is_unpaused(n)
+        ]
+        if not candidates:
             return None, {}
-        name = self.random.choice(able)
-        answer = self.run_killable(name, lambda: getattr(self.gateways[name].ticket_requests, what)(argument))
+        name = self.random.choice(candidates)
+        answer = self.run_killable(name, lambda: getattr(self.gateways[name].ticket_requests, action)(argument))
         return (None, {}) if answer is None else (answer.status, orjson.loads(answer.body))
 
     def driver_name(self) -> str | None:
@@ -132,20 +138,20 @@
         )
 
 
-class _KillableLink:
-    """A gateway's transport; its process may end at any request."""
+class _KillableTransport:
+    """A gateway's transport; the gateway may be killed at any request."""
 
     def __init__(self, world: TicketWorld, name: str) -> None:
         self._world, self._name = world, name
 
     def request(self, address: str, method: str, path: str, body: bytes | None, timeout: timedelta) -> Reply:
-        fate = self._world.kill_decision(self._name, path)
-        if fate == "before":
+        kill_time = self._world.kill_decision(self._name, path)
+        if kill_time == "before":
             raise Killed
         try:
             return self._world.deliver(self._name, address, method, path, orjson.loads(body) if body else {})
         finally:
-            if fate == "after":
+            if kill_time == "after":
                 raise Killed
 
 
@@ -153,12 +159,12 @@
 
 
 def ticket(kind: str, klass: str, number: int, run: float = 4.0, tasks: int = 3) -> dict:
-    """A submission: a chain, a diamond, a wide or a long one, a single step, one that fails, or a wrong one."""
+    """The fields of a submission; `kind` is one of the keys of `links`, `run` is in seconds."""
     script = {"script": {"actions": {"onRun": {"command": "match"}}}}
     space = {"taskParameterDefinitions": [{"name": "F", "type": "INT", "range": f"1-{tasks}"}]}
     names = [f"{random.Random(30 * number + n).getrandbits(240):060x}" for n in range(30)]
     links = {
-        "long": dict.fromkeys(names, ""),  # a plan that no single record holds
+        "long": dict.fromkeys(names, ""),  # a plan that is too large for a single record
         "single": {"a": ""},
         "wide": {"a": ""},
         "chain": {"a": "", "b": "a", "c": "b"},
@@ -184,8 +190,8 @@
     }  # fmt: skip
 
 
-class Verdict(NamedTuple):
-    """What a mixed run came to."""
+class TicketSimulationResult(NamedTuple):
+    """The result of a simulation."""
 
     tickets: int
     runs: int
@@ -201,65 +207,68 @@
 
 
 class Client:
-    """One user of one ticket, who may crash before he reads an answer."""
+    """A user of one ticket, who may crash before reading an answer."""
 
-    def __init__(self, farm: "TicketSimulation", fields: dict, at: float) -> None:
-        self._farm, self._world = farm, farm.world
+    def __init__(self, simulation: "TicketSimulation", fields: dict, at: float) -> None:
+        self._simulation, self._world = simulation, simulation.world
         self.fields = fields
-        self._at = at  # the next thing he does
-        self._again = farm.random.randint(0, 2)  # times he comes back with the ticket after its end
-        self._run: str | None = None
+        self._next_action_at = at  # seconds since the start of the simulation
+        self._resubmissions_left = simulation.random.randint(0, 2)  # after the end of a run
+        self._run_id: str | None = None
         self.refused = False
 
     @property
     def is_finished(self) -> bool:
-        return self.refused or (self._run is None and self._again < 0)
+        return self.refused or (self._run_id is None and self._resubmissions_left < 0)
 
     def step(self, now: float) -> None:
-        if self.is_finished or now < self._at:
+        if self.is_finished or now < self._next_action_at:
             return
-        self._at = now + self._farm.random.uniform(1, 5)
-        if self._run is None:
+        self._next_action_at = now + self._simulation.random.uniform(1, 5)
+        if self._run_id is None:
             self._submit()
-        elif self._farm.random.random() < 0.05:
-            self._farm.check_answer(self._run, self._world.ask_gateway("cancel", self._run))
+        elif self._simulation.random.random() < 0.05:
+            self._simulation.check_answer(self._run_id, self._world.ask_gateway("cancel", self._run_id))
         else:
-            answer = self._world.ask_gateway("show", self._run)
-            self._farm.check_answer(self._run, answer)
+            answer = self._world.ask_gateway("show", self._run_id)
+            self._simulation.check_answer(self._run_id, answer)
             if is_final(answer[1]):
-                self._run, self._again = None, self._again - 1
-                self._at = now + self._farm.random.choice([1.0, 2 * RERUN_PAUSE.total_seconds()])
+                self._run_id, self._resubmissions_left = None, self._resubmissions_left - 1
+                self._next_action_at = now + self._simulation.random.choice([1.0, 2 * RERUN_PAUSE.total_seconds()])
 
     def _submit(self) -> None:
         status, answer = self._world.ask_gateway("submit", orjson.dumps(self.fields))
-        if self._farm.random.random() < 0.2:
-            return  # he crashed, and knows nothing of an answer
+        if self._simulation.random.random() < 0.2:
+            return  # the client crashed before it read the answer
         if status in (400, 422):
             self.refused = True
         elif status in (200, 201):
-            self._run = answer["ticket"]
-            self._farm.check_answer(self._run, (status, answer))
+            self._run_id = answer["ticket"]
+            self._simulation.check_answer(self._run_id, (status, answer))
 
 
 class TicketSimulation:
-    """Plays so many tickets beside as many native jobs, through faults, and judges."""
+    """Runs `tickets` tickets and as many native jobs through faults, and checks the outcome.
+
+    `length` is the time in seconds during which work arrives and faults occur.
+    """
 
     def __init__(self, seed: int, tickets: int, length: float, machines: int = 12) -> None:
-        usual = load_operator_settings(None)
-        operators: OperatorSettings = replace(usual, ledger=replace(usual.ledger, enabled=True))
+        defaults = load_operator_settings(None)
+        operators: OperatorSettings = replace(defaults, ledger=replace(defaults.ledger, enabled=True))
         self.world = TicketWorld(
             seed=seed, machines=machines, capacity=machines, teams=TEAMS, operators=operators,
         )  # fmt: skip
         self.usage_observer = UsageObserver(self.world.store, self.world.clock)
-        self._account_set = self.world.store.on_set
-        self.world.store.on_set = self._set
+        self._observe_set = self.world.store.on_set
+        self.world.store.on_set = self._on_set
         self.random = random.Random(seed)
         self._length = length
-        self.final_answers: dict[str, dict] = {}  # final answers
+        self.final_answers: dict[str, dict] = {}
         self.problems: list[str] = []
         self.faults = 0
-        self._accepted: dict[str, tuple[Plan, datetime]] = {}
-        self._at: dict[str, int] = {}  # the order in which jobs were submitted, and ended
+        self._accepted_runs: dict[str, tuple[Plan, datetime]] = {}
+        self._event_order: dict[str, int] = {}  # by key of a job or an end: its rank in the order of first writes
         kinds = ["single", "single", "chain", "chain", "diamond", "diamond", "wide", "long", "failing", "wrong"]
         self.clients = []
         for number in range(tickets):
@@ -267,29 +276,29 @@
             tasks = {"wide": self.random.randint(64, 90), "long": 1}.get(kind) or self.random.randint(1, 6)
             fields = ticket(kind, klass, number, self.random.uniform(1, 4), tasks)
             self.clients.append(Client(self, fields, self.random.uniform(5, length * 0.7)))
-        self._natives = {f"j-{n}": self.random.uniform(5, length * 0.7) for n in range(tickets)}
-        self.world.kill_decision = self._fate
+        self._native_jobs = {f"j-{n}": self.random.uniform(5, length * 0.7) for n in range(tickets)}
+        self.world.kill_decision = self._random_kill
 
-    def _fate(self, name: str, path: str) -> str | None:
+    def _random_kill(self, name: str, path: str) -> str | None:
         if self.random.random() < (0.02 if path == "/commit" else 0.001):
             self.faults += 1
             return self.random.choice(["before", "after"])
         return None
 
-    def _set(self, key: str, value: Any) -> None:
-        self._account_set(key, value)
+    def _on_set(self, key: str, value: Any) -> None:
+        self._observe_set(key, value)
         if key.startswith(TICKET_PREFIX) and value is not None:
             run = key.removeprefix(TICKET_PREFIX)
-            if run not in self._accepted:
+            if run not in self._accepted_runs:
                 plan = value["plan"]
                 if not isinstance(plan, str):
                     plan = "".join(self.world.store.data[part_key(plan[0], n)][0] for n in range(plan[1]))
-                self._accepted[run] = decode_plan(plan), self.world.clock.utc()
+                self._accepted_runs[run] = decode_plan(plan), self.world.clock.utc()
         if key.startswith((JOB_PREFIX, END_PREFIX)):
-            self._at.setdefault(key, len(self._at))
+            self._event_order.setdefault(key, len(self._event_order))
 
     def check_answer(self, run: str, answer: tuple[int | None, dict]) -> None:
-        """A user was told this: a final answer never changes, and an accepted run is never unknown."""
+        """Check an answer to a user: a final answer must not change, and an accepted run must be known."""
         status, fields = answer
         if status == 404:
             self.problems.append(f"{run} is unknown")
@@ -299,8 +308,8 @@
             self.problems.append(f"{run} was {self.final_answers[run]}, now {fields}")
         if is_final(fields):
             if fields["state"] == "cancelled" and run not in self.final_answers:
-                for step in self._accepted[run][0].jobs:
-                    if JOB_PREFIX + step.spec.ref in self._at:
+                for step in self._accepted_runs[run][0].jobs:
+                    if JOB_PREFIX + step.spec.ref in self._event_order:
                         self.world.told_cancelled.setdefault(step.spec.ref, self.world.clock.now)
             self.final_answers[run] = fields
 
@@ -328,21 +337,21 @@
         elif running and kind == "all" and self.random.random() < 0.3:
             world.fault("kill", "all", back)
 
-    def play(self) -> Verdict:
-        """Play it until all tickets and jobs have ended, and judge."""
+    def play(self) -> TicketSimulationResult:
+        """Run until all tickets and jobs have ended, and check the outcome."""
         world, began = self.world, self.world.clock.now
-        open_natives = set(self._natives)
+        unsubmitted_jobs = set(self._native_jobs)
         while True:
             now = (world.clock.now - began).total_seconds()
             for client in self.clients:
                 client.step(now)
             job = {"crew": "native", "run_s": 3.0, "expect_s": 3.0, "cpus": 1.0}
-            for ref in sorted(r for r in open_natives if self._natives[r] <= now):
+            for ref in sorted(r for r in unsubmitted_jobs if self._native_jobs[r] <= now):
                 if world.submit(ref, 1 + int(ref[2:]) % 5, **job) in (
                     200,
                     201,
                 ):
-                    open_natives.discard(ref)
+                    unsubmitted_jobs.discard(ref)
             if now > self._length:
                 world.store.outage(False)
                 world.kill_decision, world.paused_until = (lambda name, path: None), {}
@@ -350,65 +359,69 @@
                 self._fault()
             world.run(0.5)
             live = [k for k in world.store.data if k.startswith((TICKET_PREFIX, JOB_PREFIX))]
-            if now > self._length and not live and not open_natives and all(c.is_finished for c in self.clients):
+            if now > self._length and not live and not unsubmitted_jobs and all(c.is_finished for c in self.clients):
                 break
             if now > self._length * 6 + 600:
                 self.problems.append(f"{len(live)} tickets and jobs never ended: {live[:3]}")
                 break
         world.run(30)
-        # What was staged in vain is swept after five minutes.
+        # Stored parts of plans that were never accepted are deleted after five minutes.
         world.run(360, lambda: not any(key.startswith(PART_PREFIX) for key in world.store.data))
-        return self._judge()
+        return self._check_outcome()
 
-    def _judge(self) -> Verdict:
+    def _check_outcome(self) -> TicketSimulationResult:
         world, data = self.world, self.world.store.data
         ends = {k.removeprefix(ENDED_PREFIX): v[0] for k, v in data.items() if k.startswith(ENDED_PREFIX)}
         heads = {k.removeprefix(HEAD_PREFIX): v[0]["run"] for k, v in data.items() if k.startswith(HEAD_PREFIX)}
-        say = self.problems.append
-        for run in self._accepted.keys() ^ ends.keys():
-            say(f"{run} was {'accepted' if run in self._accepted else 'never accepted'}: its end is {ends.get(run)}")
+        add_problem = self.problems.append
+        for run in self._accepted_runs.keys() ^ ends.keys():
+            add_problem(
+                f"{run} was {'accepted' if run in self._accepted_runs else 'never accepted'}: its end: {ends.get(run)}"
+            )
         for run, told in self.final_answers.items():
             if run in ends and told["state"] != ends[run]["end"]:
-                say(f"{run}: told {told['state']}, recorded {ends[run]['end']}")
-        for run, (plan, _) in self._accepted.items():
-            self._judge_steps(run, plan, ends.get(run, {}))
+                add_problem(f"{run}: told {told['state']}, recorded {ends[run]['end']}")
+        for run, (plan, _) in self._accepted_runs.items():
+            self._check_steps(run, plan, ends.get(run, {}))
         for client in self.clients:
             name, klass = client.fields["id"], CLASSES[client.fields["class"]]
             if client.refused != name.startswith("wrong") or (client.refused and name in heads):
-                say(f"{name}: refused {client.refused}, records {heads.get(name)}")
-            self._judge_class(name, klass, heads.get(name, 0), ends)
+                add_problem(f"{name}: refused {client.refused}, records {heads.get(name)}")
+            self._check_class(name, klass, heads.get(name, 0), ends)
         if left := [k for k in data if k.startswith(PART_PREFIX)]:
-            say(f"parts left: {left}")
-        books = read(next(node.store for node in world.nodes.values() if node is not None))
-        ledger = {team: amounts for team, amounts in total(books.entries).items() if any(amounts)}
-        account = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
+            add_problem(f"parts left: {left}")
+        ledger_contents = read(next(node.store for node in world.nodes.values() if node is not None))
+        ledger = {team: amounts for team, amounts in total(ledger_contents.entries).items() if any(amounts)}
+        observed = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
         kinds = Counter(end["end"] for end in ends.values())
         problems = self.problems + world.broken
-        return Verdict(len(self.clients), len(self._accepted), kinds, self.faults, problems, ledger, account)
+        return TicketSimulationResult(
+            len(self.clients), len(self._accepted_runs), kinds, self.faults, problems, ledger, observed
+        )
 
-    def _judge_steps(self, run: str, plan: Plan, end: dict) -> None:
+    def _check_steps(self, run: str, plan: Plan, end: dict) -> None:
         for place, step in enumerate(plan.jobs):
             ref = step.spec.ref
-            submitted = self._at.get(JOB_PREFIX + ref)
+            submitted = self._event_order.get(JOB_PREFIX + ref)
             for before in step.depends_on:
-                ended = self._at.get(END_PREFIX + plan.jobs[before].spec.ref)
+                ended = self._event_order.get(END_PREFIX + plan.jobs[before].spec.ref)
                 if submitted is not None and (ended is None or ended > submitted):
-                    self.problems.append(f"{run}: {step.name} came before a step it depends on was done")
+                    self.problems.append(f"{run}: {step.name} was submitted before a step that it depends on had ended")
             if end and end["steps"][place] == "d":
                 missing = [t for i in range(step.spec.tasks) if (t := f"{ref}/{i}") not in self.world.finished]
                 if missing:
-                    self.problems.append(f"{run}: {step.name} is called done, {missing[:3]} are not")
+                    self.problems.append(f"{run}: {step.name} is recorded as done, but {missing[:3]} did not finish")
 
-    def _judge_class(self, name: str, klass: TicketClass, runs: int, ends: dict[str, dict]) -> None:
-        of = [ends.get(f"{name}.{n}", {}) for n in range(1, runs + 1)]
-        earlier, wrong = of[:-1], False
+    def _check_class(self, name: str, klass: TicketClass, runs: int, ends: dict[str, dict]) -> None:
+        run_ends = [ends.get(f"{name}.{n}", {}) for n in range(1, runs + 1)]
+        earlier, wrong = run_ends[:-1], False
         if klass.rerun_policy is RerunPolicy.ONCE:
             wrong = runs > 1
         elif klass.rerun_policy is RerunPolicy.AFTER_FAILURE:
             wrong = runs > klass.max_runs or any(end.get("end") != "failed" for end in earlier)
         elif klass.rerun_policy is RerunPolicy.AFTER_PAUSE:
-            starts = [self._accepted[f"{name}.{n}"][1].timestamp() for n in range(2, runs + 1)]
+            starts = [self._accepted_runs[f"{name}.{n}"][1].timestamp() for n in range(2, runs + 1)]
             pause = klass.min_rerun_interval.total_seconds()
             wrong = any(start - end["at"] < pause for start, end in zip(starts, earlier, strict=True))
         if wrong:
-            self.problems.append(f"{name}: {runs} runs, {klass.rerun_policy.value}: {of}")
+            self.problems.append(f"{name}: {runs} runs, {klass.rerun_policy.value}: {run_ends}")
--- a/kelpjunction/lab/worker.py
+++ b/kelpjunction/lab/worker.py
@@ -1,7 +1,7 @@
 """A stand-in for a machine's worker: sessions, tokens, leases and tasks, as PROTOCOL describes them.
 
-One implementation serves the simulated world, the lab's processes and the
-hollow workers of a scale run; what surrounds a worker is its `WorkerEnvironment`.
+The simulated site, the lab of real processes and the hollow workers of a scale
+run share this implementation. Each provides its own `WorkerEnvironment`.
 """
 
 from collections.abc import Callable
@@ -13,43 +13,43 @@
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.transport import Reply
 
-REPORT_SPREAD = (0.75, 1.25)  # of the time between two reports, as PROTOCOL says
-REPORT_ON_CHANGE_EVERY = timedelta(milliseconds=500)
+REPORT_SPREAD = (0.75, 1.25)  # factors of the report interval, from PROTOCOL
+MIN_REPORT_INTERVAL = timedelta(milliseconds=500)
 
 
 class MessageLoss(Enum):
-    """Which half of what a machine and the nodes say to each other is lost."""
+    """Which of the messages between a machine and the nodes are lost."""
 
-    INBOUND_LOST = "deaf"  # its reports arrive; answers to them, and requests to it, don't
-    RESPONSES_LOST = "unanswered"  # its reports arrive, and requests to it; no answer of either side does
-    OUTBOUND_LOST = "mute"  # requests to it arrive; its reports don't, nor its answers
+    INBOUND_LOST = "deaf"  # its reports arrive; responses to them and requests to it are lost
+    RESPONSES_LOST = "unanswered"  # its reports and requests to it arrive; the replies to both are lost
+    OUTBOUND_LOST = "mute"  # requests to it arrive; its reports and its replies are lost
 
 
 class WorkerEnvironment(Protocol):
-    """What a worker asks of the world around it."""
+    """What a worker needs from the site that it runs in."""
 
     clock: Any  # with `now`, a timedelta
     times: WorkerTimes
     node_count: int
-    reports_changes: bool  # whether a change of its tasks brings the next report forward, as PROTOCOL says
+    reports_changes: bool  # whether a worker reports early when its tasks change, as PROTOCOL says
 
-    def start_task(self, worker: "WorkerStandIn", frond: str, attempt: int) -> dict:
-        """A task begins on the worker: what it is, as the worker keeps it."""
+    def start(self, worker: "WorkerStandIn", task_id: str, attempt: int) -> dict:
+        """Called when the worker starts a task; returns the task's fields as the worker keeps them."""
 
-    def on_task_exit(self, worker: "WorkerStandIn", frond: str, cause: str) -> None:
-        """A task has exited and is not on the machine any more."""
+    def exited(self, worker: "WorkerStandIn", task_id: str, cause: str) -> None:
+        """Called when a task has exited and is no longer on the machine."""
 
-    def on_tasks_cleared(self, worker: "WorkerStandIn") -> None:
-        """All tasks of the worker are gone at once: its lease or its process ended, or its machine is gone."""
+    def cleared(self, worker: "WorkerStandIn") -> None:
+        """Called when all tasks of the worker are gone: its lease or its process ended, or its machine died."""
 
     def send_report(self, worker: "WorkerStandIn", fields: dict) -> None:
-        """Carry a report to the worker's node; ends in `on_report_response` or `on_no_response`."""
+        """Send a report to the worker's node, and later call `on_report_response` or `on_no_response`."""
 
     def number_of(self, node: str | None) -> int | None:
-        """The number of a node by its name."""
+        """The number of the node with this name; None if the name is unknown."""
 
     def vary(self, spread: tuple[float, float]) -> float:
-        """By how much a time differs from its nominal value."""
+        """A factor within `spread` for a nominal time."""
 
 
 class WorkerStandIn:
@@ -61,23 +61,23 @@
         self.session, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict] = {}
         self.alive = True
-        self.restart_count = 0  # how often its process was started again
-        self.partitioned = False  # no packet gets through
-        self.message_loss: MessageLoss | None = None  # half a cut
+        self.restart_count = 0  # restarts of its process
+        self.partitioned = False  # all packets are lost
+        self.message_loss: MessageLoss | None = None  # a partial partition
         self.fails_all_tasks = False
-        self.hang_period: tuple[timedelta, timedelta] | None = None  # since when it hangs, and until when
-        self.packets: list[Callable[[], Any]] = []  # what came in meanwhile, in order
-        self.clock_rate = 1.0  # of its clock: 0.9995 to 1.0005 as PROTOCOL allows
+        self.hang_period: tuple[timedelta, timedelta] | None = None  # start and end of a hang
+        self.packets: list[Callable[[], Any]] = []  # packets that arrived during a hang, in order
+        self.clock_rate = 1.0  # its clock's rate; PROTOCOL allows 0.9995 to 1.0005
         self.lease_renewed_at = self.booted_at = world.clock.now
         self.node = 0
-        self.report_in_flight = False  # at most one report is in flight
+        self.report_in_flight = False  # a worker sends no report while one is in flight
         self.reported_at = world.clock.now
         self.next_report = world.clock.now
         self.notice_at: timedelta | None = None
 
     @property
     def up(self) -> bool:
-        """Whether it has booted and not died: a worker's first session begins when its machine is up, not before."""
+        """Whether the machine has booted and not died; a worker's first session begins when its machine is up."""
         return self.alive and self.world.clock.now >= self.booted_at
 
     def report(self) -> dict:
@@ -94,7 +94,7 @@
         }  # fmt: skip
 
     def die(self) -> None:
-        """The machine is gone, and what was on it."""
+        """End the machine and all tasks on it."""
         self.alive = False
         self._clear()
 
@@ -102,16 +102,16 @@
         self.tasks.clear()
         self.world.cleared(self)
 
-    def _exit(self, frond: str, task: dict, cause: str, **fields: bool) -> None:
-        """The one place where a task of a worker ends by itself or by command."""
+    def _exit(self, task_id: str, task: dict, cause: str, **fields: bool) -> None:
+        """Mark a task as exited, by itself or by command.  Only this method does so."""
         task |= {"tide": "exited", "cause": cause} | fields
-        self.world.exited(self, frond, cause)
-        self._changed()
+        self.world.exited(self, task_id, cause)
+        self._report_soon()
 
-    def _changed(self) -> None:
-        """A change of its tasks or session: the next report goes out at once, though not twice in half a second."""
+    def _report_soon(self) -> None:
+        """Bring the next report forward after a change of tasks or session, but not to within 500 ms of the last."""
         if self.world.reports_changes:
-            self.next_report = min(self.next_report, self.reported_at + REPORT_ON_CHANGE_EVERY)
+            self.next_report = min(self.next_report, self.reported_at + MIN_REPORT_INTERVAL)
 
     def handle(self, method: str, path: str, body: dict) -> Reply:
         if path == "/status":
@@ -122,37 +122,41 @@
         self.execute(body["orders"])
         return Reply(200, self.report())
 
-    def execute(self, orders: list[dict]) -> None:
-        for order in orders:
-            key = (order["frond"], order["launch"])
-            if order["verb"] == "run" and key not in self.tasks:
+    def execute(self, commands: list[dict]) -> None:
+        for command in commands:
+            key = (command["frond"], command["launch"])
+            if command["verb"] == "run" and key not in self.tasks:
                 self.tasks[key] = self.world.start(self, *key)
-                self._changed()
-            elif order["verb"] == "halt" and key in self.tasks:
-                self._halt(key[0], self.tasks[key], order["slack_s"])
-            elif order["verb"] == "forget" and self.tasks.get(key, {}).get("tide") == "exited":
+                self._report_soon()
+            elif command["verb"] == "halt" and key in self.tasks:
+                self._stop_task(key[0], self.tasks[key], command["slack_s"])
+            elif command["verb"] == "forget" and self.tasks.get(key, {}).get("tide") == "exited":
                 del self.tasks[key]
 
-    def _halt(self, frond: str, task: dict, slack: float) -> None:
-        """A running task that can save does so if it has the time; a second command without any ends that."""
+    def _stop_task(self, task_id: str, task: dict, slack: float) -> None:
+        """Stop a task; `slack` is the time in seconds that it may take to save its state.
+
+        A running task that can save its state does so if the time suffices. A
+        later command without slack ends the saving.
+        """
         job = task["job"]
         if task["tide"] == "running" and job.get("mark_s", 0) > 0 and slack >= job.get("stow_s", 0) and slack > 0:
             task |= {"tide": "flushing", "saved_at": self.world.clock.now + seconds(job.get("stow_s", 0))}
         elif task["tide"] != "exited" and not (task["tide"] == "flushing" and slack > 0):
-            self._exit(frond, task, "stopped", kept=False)
+            self._exit(task_id, task, "stopped", kept=False)
 
     def hang(self, length: float) -> None:
-        """Stand still for so many seconds: nothing runs, and what is sent here waits; its lease runs on."""
+        """Hang for `length` seconds: tasks make no progress and packets wait, but the lease still runs out."""
         if self.hang_period is None:
             self.hang_period = self.world.clock.now, self.world.clock.now + seconds(length)
 
-    def _go_on(self) -> None:
-        """Go on where it stood, first of all with what came in meanwhile."""
-        stood, self.hang_period = self.world.clock.now - self.hang_period[0], None
+    def _end_hang(self) -> None:
+        """Continue after a hang: shift the tasks' times by its length and handle the packets that waited."""
+        hang_time, self.hang_period = self.world.clock.now - self.hang_period[0], None
         for task in self.tasks.values():
             for moment in ("ready", "ends", "saved_at"):
                 if task.get(moment):
-                    task[moment] += stood
+                    task[moment] += hang_time
         waiting, self.packets = self.packets, []
         for packet in waiting:
             packet()
@@ -165,42 +169,42 @@
             self.session += 1
             self._clear()
             self.lease_renewed_at = now
-            self._changed()
+            self._report_soon()
         if self.hang_period is not None:
             if now < self.hang_period[1]:
                 return
-            self._go_on()
-        for (frond, _), task in self.tasks.items():
+            self._end_hang()
+        for (task_id, _), task in self.tasks.items():
             if task["tide"] == "flushing" and now >= task["saved_at"]:
-                self._exit(frond, task, "stopped", kept=True)
+                self._exit(task_id, task, "stopped", kept=True)
             if task["tide"] == "pulling" and now >= task["ready"]:
                 if self.fails_all_tasks or task["job"].get("wrong"):
-                    self._exit(frond, task, "error")
+                    self._exit(task_id, task, "error")
                 else:
                     task["tide"] = "running"
-                    self._changed()
+                    self._report_soon()
             if task["tide"] == "running" and task["ends"] and now >= task["ends"]:
-                self._exit(frond, task, "done")
+                self._exit(task_id, task, "done")
         if now >= self.next_report and not self.report_in_flight:
             self.next_report = now + self.world.times.report * self.world.vary(REPORT_SPREAD)
             self.report_in_flight, self.reported_at = True, now
             self.world.send_report(self, self.report())
 
     def on_report_response(self, fields: dict, sent_at: timedelta, status: int, answer: dict) -> None:
-        """The answer to the report of these fields came."""
+        """Handle the response to the report with these fields, which was sent at `sent_at`."""
         self.report_in_flight = False
         if status == 200:
             if answer["helm"] >= self.token and fields["watch"] == self.session:
                 self.token, self.lease_renewed_at = answer["helm"], max(self.lease_renewed_at, sent_at)
                 self.execute(answer["orders"])
-        elif status == 421 and (named := self.world.number_of(answer.get("harbour"))) not in (None, self.node):
-            self.node = named
+        elif status == 421 and (named_node := self.world.number_of(answer.get("harbour"))) not in (None, self.node):
+            self.node = named_node
             self.next_report = self.world.clock.now + seconds(0.2)
         else:
             self.on_no_response()
 
     def restart(self) -> None:
-        """Its process ended and is back at once: the tasks are gone, and it counts from the beginning again."""
+        """Restart its process: its tasks are gone, and session, sequence number and token start over."""
         self.session, self.sequence, self.token = 1, 0, 0
         self._clear()
         self.report_in_flight, self.lease_renewed_at = False, self.world.clock.now
@@ -208,7 +212,7 @@
         self.restart_count += 1
 
     def on_no_response(self) -> None:
-        """No answer of use came to the report: the next node is tried."""
+        """Handle a missing or useless response to a report: try the next node after a second."""
         self.report_in_flight = False
         self.node = (self.node + 1) % self.world.node_count
         self.next_report = self.world.clock.now + seconds(1)
--- a/kelpjunction/lab/world.py
+++ b/kelpjunction/lab/world.py
@@ -1,7 +1,7 @@
-"""A simulated world: whole nodes, the stand-ins, and a clock that moves only when the world moves it.
+"""A simulated site: complete nodes and the stand-ins on a simulated clock.
 
-Requests or answers can be dropped, and requests held back to be carried out
-later; a node can stand still at any request it sends.
+Requests and replies can be lost. Requests can also be delayed until after the
+sender has given up. A node can be paused at any request that it sends.
 """
 
 import heapq
@@ -36,14 +36,14 @@
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 STORE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
-REPORT_RESPONSE_TIMEOUT_S = 4.0  # seconds that a worker waits for the answer to its report
+REPORT_RESPONSE_TIMEOUT_S = 4.0
 
 
 class SimClock:
-    """A clock that moves only when the world moves it.
+    """A clock that advances only when `World` sets it.
 
-    The time of day may pass `day_speed` times as fast as the steady clock:
-    leases and rounds keep their pace while weeks go by.
+    The time of day passes `day_speed` times as fast as the steady clock, so
+    that a run can cover weeks without changing the pace of leases and rounds.
     """
 
     def __init__(self, day_speed: int = 1) -> None:
@@ -58,20 +58,20 @@
 
 
 class NetworkConditions(NamedTuple):
-    """What the seed moves beside run and boot times: messages' delay and loss, and who comes first."""
+    """Message delay and loss, drawn from the seed; run times, boot times and step order then vary as well."""
 
-    delay_range_s: tuple[float, float] = (0.01, 0.3)  # seconds that a worker's report takes, and its answer
-    loss_rate: float = 0.002  # of the nodes' requests and the workers' reports: lost, answered in vain or held back
+    delay_range_s: tuple[float, float] = (0.01, 0.3)  # one way, for a worker's report and for the response to it
+    loss_rate: float = 0.002  # share of node requests and worker reports that are lost, delayed or lose their reply
 
 
 class World(Site):
-    """Whole nodes on a simulated clock.
+    """Complete nodes on a simulated clock.
 
-    With `network_conditions`, the seed moves what it moves in a world outside; without,
-    everything takes its nominal time, so that traces can be read.  With
-    `store`, the state service refuses what is above its rates.  `interleaved`
-    nodes answer a report before what they ask and send because of it goes out,
-    as real processes do; else that comes first.
+    With `network_conditions`, the seed varies what varies in a real network;
+    without them, everything takes its nominal time, so that traces are
+    readable.  With `store`, the state service rejects requests above its rates.
+    With `interleaved`, a node responds to a report before it sends the requests
+    that the report caused, as a real process does; otherwise it sends them first.
     """
 
     def __init__(
@@ -95,23 +95,23 @@
         self.network_conditions, self.varied = network_conditions, network_conditions is not None
         self.classes_with_objectives = classes_with_objectives
         self.late: list[tuple[timedelta, int, Callable]] = []
-        self._late_number = 0
-        self._beats = 0  # steps of time there have been: short runs must not keep slow loops from their turn
+        self._action_number = 0
+        # Steps since the start.  It is kept across calls of `run`, so that slow loops also run if each call is short.
+        self._step_count = 0
         self.late_request_delay_s = (1.0, 25.0)
         self.cut_from_store: set[str] = set()
         self.cut_from_peers: set[str] = set()
-        # How many seconds late copies of a report come again, if any do, and to which nodes.
+        # The duplicates of a report: for each, the delay in seconds and the node that receives it.
         self.duplicate_reports: Callable[[WorkerStandIn], list[tuple[float, str]]] = lambda worker: []
-        self.reports_for_next_leader: list[dict] | None = (
-            None  # copies that come to every node when the next leader begins
-        )
-        self._led_by: LeaderTerm | None = None
-        self.filter: Callable[[str, str, str], str | None] = self._weathered
-        # How long a node stands still before this request leaves it, if at all.
+        # Copies of reports that are delivered to every node when the next leader's term begins; None to keep none.
+        self.reports_for_next_leader: list[dict] | None = None
+        self._last_leader_term: LeaderTerm | None = None
+        self.filter: Callable[[str, str, str], str | None] = self._random_message_fault
+        # Seconds for which a node is paused before it sends this request; 0 for no pause.
         self.pause_before_request: Callable[[str, str, str], float] = lambda source, target, path: 0.0
         self.frozen: set[str] = set()
-        self._waiting: dict[str, list[Callable]] = {}  # packets for nodes that stand still
-        self.contradictions: list[Event] = []  # what nodes found that can't be
+        self._waiting_packets: dict[str, list[Callable]] = {}  # by node: packets that arrived while it was paused
+        self.contradictions: list[Event] = []  # events in which a node recorded an impossible state
         self._exchanges = InterleavedRequests(self, seed) if interleaved else None
         self.nodes: dict[str, Node | None] = {}
         for i in range(machines):
@@ -134,11 +134,11 @@
         )  # fmt: skip
 
     def start_node(self, name: str) -> Node:
-        transport = _Link(self, name)
+        transport = _SimulatedTransport(self, name)
         node = Node(
             self.platform(name), self.operators, transport, transport, transport, self.clock,
-            _at_once, lambda duration: None, random.Random(self.random.random()),
-            partial(self._exchanges.spawn, name) if self._exchanges else _at_once,
+            _call_now, lambda duration: None, random.Random(self.random.random()),
+            partial(self._exchanges.spawn, name) if self._exchanges else _call_now,
         )  # fmt: skip
         node.recorder.on_contradiction = self.contradictions.append
         self.nodes[name] = node
@@ -149,7 +149,7 @@
 
     def when_running(self, node: str, act: Callable[[], None]) -> None:
         if node in self.frozen:
-            self._waiting.setdefault(node, []).append(act)
+            self._waiting_packets.setdefault(node, []).append(act)
         else:
             act()
 
@@ -157,33 +157,33 @@
         return self.clock.now
 
     def kill_node(self, name: str) -> None:
-        """End a node's process; packets that waited in its sockets are gone with it."""
+        """End a node's process; packets waiting in its sockets are lost."""
         self.nodes[name] = None
         self.frozen.discard(name)
-        self._waiting.pop(name, None)
+        self._waiting_packets.pop(name, None)
 
     def runs(self, name: str) -> bool:
         return self.nodes[name] is not None
 
     def freeze(self, name: str, duration: float) -> None:
-        """Let a node stand still, in the middle of what it does, while all else goes on; then it goes on."""
+        """Pause a node in the middle of its current step for `duration` seconds while everything else runs."""
         if name in self.frozen:
             return
         node = self.nodes[name]
         self.frozen.add(name)
         self.run(duration)
-        self._thaw(name, node)
+        self._resume_node(name, node)
 
     def suspend_node(self, name: str, duration: float) -> None:
         node = self.nodes[name]
         self.frozen.add(name)
-        self.run_after(duration, lambda: self._thaw(name, node))
+        self.run_after(duration, lambda: self._resume_node(name, node))
 
-    def _thaw(self, name: str, node: Node | None) -> None:
-        """A frozen node goes on where it was, with what it believed, unless it was killed meanwhile."""
+    def _resume_node(self, name: str, node: Node | None) -> None:
+        """Resume a paused node with its state unchanged, unless it was killed in the meantime."""
         if self.nodes[name] is node is not None:
             self.frozen.discard(name)
-            for packet in self._waiting.pop(name, ()):
+            for packet in self._waiting_packets.pop(name, ()):
                 packet()
 
     def run_after(self, duration: float, act: Callable[[], None]) -> None:
@@ -191,8 +191,8 @@
             self.at(self.clock.now + seconds(duration), act)
 
     def at(self, moment: timedelta, act: Callable[[], None]) -> None:
-        self._late_number += 1
-        heapq.heappush(self.late, (moment, self._late_number, act))
+        self._action_number += 1
+        heapq.heappush(self.late, (moment, self._action_number, act))
 
     def leader(self) -> Node | None:
         for node in self.nodes.values():
@@ -207,35 +207,38 @@
     # -- messages -------------------------------------------------------------
 
     def deliver(self, source: str, address: str, method: str, path: str, body: dict) -> Reply:
-        """One request of a node: what happens to it is up to `filter`."""
+        """Deliver a node's request; `filter` decides whether it is delayed or lost.
+
+        Raises `NoResponse` if the sender receives no reply.
+        """
         pause = self.pause_before_request(source, address, path)
         if pause:
             node = self.nodes[source]
             self.freeze(source, pause)
             if self.nodes[source] is not node:
-                raise NoResponse("the process was killed meanwhile")
+                raise NoResponse("the sending process was killed while it was paused")
         if address == STORE and source in self.cut_from_store:
             return Reply(503, {})
         if path == PEER_PATH:
             return self.peer(source, address)
         handler = self._handler(address)
-        fate = self.filter(source, address, path)
-        if fate == "held":
-            # Held back: the sender gives up, and it is carried out later.
+        fault = self.filter(source, address, path)
+        if fault == "held":
+            # The sender gives up, and the request is carried out later.
             def carry_out_late() -> None:
                 with suppress(NoResponse):
                     handler(method, path, body)
 
             self.run_after(self.random.uniform(*self.late_request_delay_s), carry_out_late)
-            raise NoResponse("held back")
-        if fate == "lost":
+            raise NoResponse("request delayed beyond its timeout")
+        if fault == "lost":
             raise NoResponse("request lost")
         reply = handler(method, path, body)
-        if fate == "answer lost":
-            raise NoResponse("answer lost")
+        if fault == "answer lost":
+            raise NoResponse("reply lost")
         return reply
 
-    def _weathered(self, source: str, target: str, path: str) -> str | None:
+    def _random_message_fault(self, source: str, target: str, path: str) -> str | None:
         if (
             self.network_conditions is None
             or path.startswith("/follow")
@@ -245,23 +248,23 @@
         return self.random.choice(["held", "lost", "answer lost"])
 
     def send_report(self, worker: WorkerStandIn, fields: dict) -> None:
-        sent_at, life = self.clock.now, worker.restart_count
-        there, back = (
+        sent_at, restart_count = self.clock.now, worker.restart_count
+        outbound_delay, return_delay = (
             (0.0, 0.0)
             if self.network_conditions is None
             else (self.random.uniform(*self.network_conditions.delay_range_s) for _ in "ab")
         )
         for late, name in self.duplicate_reports(worker):
-            self.run_after(late, lambda name=name: self._copy(name, fields))
+            self.run_after(late, lambda name=name: self._deliver_report_copy(name, fields))
         if self.reports_for_next_leader is not None:
             self.reports_for_next_leader.append(fields)
 
-        def unless_restarted(act: Callable[[], None]) -> Callable[[], None]:
-            return lambda: act() if worker.restart_count == life else None
+        def if_not_restarted(act: Callable[[], None]) -> Callable[[], None]:
+            return lambda: act() if worker.restart_count == restart_count else None
 
         def arrive() -> None:
             if worker.message_loss is MessageLoss.OUTBOUND_LOST:
-                self.run_after(REPORT_RESPONSE_TIMEOUT_S, unless_restarted(worker.on_no_response))
+                self.run_after(REPORT_RESPONSE_TIMEOUT_S, if_not_restarted(worker.on_no_response))
                 return
             try:
                 status, answer = self.reach_node(worker, worker.node, fields)
@@ -269,42 +272,42 @@
                 worker.on_no_response()
                 return
             if worker.message_loss is not None:
-                self.run_after(REPORT_RESPONSE_TIMEOUT_S, unless_restarted(worker.on_no_response))
+                self.run_after(REPORT_RESPONSE_TIMEOUT_S, if_not_restarted(worker.on_no_response))
                 return
 
             def read() -> None:
                 if worker.hang_period is not None:
-                    worker.packets.append(unless_restarted(read))
+                    worker.packets.append(if_not_restarted(read))
                 elif self.clock.now - sent_at < seconds(REPORT_RESPONSE_TIMEOUT_S):
                     worker.on_report_response(fields, sent_at, status, answer)
                 else:
                     worker.on_no_response()
 
-            self.run_after(back, unless_restarted(read)) if back else read()
+            self.run_after(return_delay, if_not_restarted(read)) if return_delay else read()
 
-        self.run_after(there, unless_restarted(arrive)) if there else arrive()
+        self.run_after(outbound_delay, if_not_restarted(arrive)) if outbound_delay else arrive()
 
-    def _copy(self, name: str, fields: dict) -> None:
-        """A copy of an old report comes in at a node; nobody waits for the answer."""
+    def _deliver_report_copy(self, name: str, fields: dict) -> None:
+        """Deliver a copy of an old report to a node and discard the response."""
         node = self.nodes[name]
         if node is not None and name not in self.frozen:
             node.check_in(orjson.dumps(fields))
 
-    def _keep_for_next(self) -> None:
-        """What was kept of reports comes in everywhere just as another leader begins."""
+    def _replay_reports_to_new_leader(self) -> None:
+        """Deliver the kept reports to every node as soon as a new leader's term begins."""
         leader = self.leader()
-        reign = leader.leadership.leader_term if leader is not None else None
-        if reign is None or reign is self._led_by:
+        term = leader.leadership.leader_term if leader is not None else None
+        if term is None or term is self._last_leader_term:
             return
-        self._led_by = reign
+        self._last_leader_term = term
         if self.reports_for_next_leader is None:
             return
         kept, self.reports_for_next_leader = self.reports_for_next_leader, []
         for name in self.node_names:
             for fields in kept:
-                self._copy(name, fields)
-                for late in (0.2, 0.5, 1.0):  # and while blocks are granted
-                    self.run_after(late, lambda name=name, fields=fields: self._copy(name, fields))
+                self._deliver_report_copy(name, fields)
+                for late in (0.2, 0.5, 1.0):  # again while the leader grants blocks
+                    self.run_after(late, lambda name=name, fields=fields: self._deliver_report_copy(name, fields))
 
     def _handler(self, address: str):
         if address == STORE:
@@ -313,44 +316,44 @@
             return self.cloud.handle
         worker = self.cloud.workers_by_address.get(address)
         if worker is None or not worker.up or worker.partitioned or worker.message_loss is MessageLoss.INBOUND_LOST:
-            raise NoResponse("nobody there")
+            raise NoResponse("no worker is reachable at this address")
 
         def carry_out(method: str, path: str, body: dict) -> Reply:
             if worker.hang_period is not None:
                 worker.packets.append(lambda: worker.handle(method, path, body))
-                raise NoResponse("the machine hangs")
+                raise NoResponse("the machine hangs and cannot reply")
             reply = worker.handle(method, path, body) if worker.alive else Reply(503, {})
             if worker.message_loss is not None:
-                raise NoResponse("answer lost")
+                raise NoResponse("reply lost")
             return reply
 
         return carry_out
 
     def peer(self, source: str, address: str) -> Reply:
-        """A sibling's answer to whether it hears the state service."""
+        """A node's reply to a sibling that asks whether its mirror of the state service is fresh."""
         name = next(f"holdfast-{i}" for i in range(3) if address == f"10.0.0.{i}:8081")
         node = self.nodes[name]
         if node is None or name in self.frozen or self.cut_from_peers & {source, name}:
-            raise NoResponse("no sibling there")
+            raise NoResponse("the sibling is not reachable")
         return Reply(200, {"fresh": node.intake.fresh})
 
     def reach_node(self, worker: WorkerStandIn, number: int, fields: dict) -> tuple[int, dict]:
         name = f"holdfast-{number}"
         node = self.nodes[name]
         if node is None or worker.partitioned or self.filter(worker.name, name, "/checkin"):
-            raise NoResponse("no node there")
+            raise NoResponse("the node is not reachable")
         body = orjson.dumps(fields)
         if name in self.frozen:
-            # The report waits in the node's socket; its answer will be too late.
-            self._waiting.setdefault(name, []).append(lambda: node.check_in(body))
-            raise NoResponse("the node stands still")
+            # The report waits in the node's socket; the response will come after the worker's timeout.
+            self._waiting_packets.setdefault(name, []).append(lambda: node.check_in(body))
+            raise NoResponse("the node is paused")
         status, answer = node.check_in(body)
         return status, orjson.loads(answer)
 
     # -- users ----------------------------------------------------------------
 
     def ask(self, method: str, path: str, body: bytes, node: str | None) -> tuple[int, dict]:
-        intake = self._taker(node).intake
+        intake = self._accepting_node(node).intake
         ref = path.removeprefix(JOBS_PATH + "/")
         if path == JOBS_PATH:
             answer = intake.submit(body)
@@ -360,69 +363,72 @@
             answer = intake.status(ref)
         return answer.status, orjson.loads(answer.body)
 
-    def _taker(self, name: str | None) -> Node:
-        """The node that takes a user's connection: this one, or any."""
-        able = [n for n, node in self.nodes.items() if node is not None and n not in self.frozen]
+    def _accepting_node(self, name: str | None) -> Node:
+        """The node that accepts a user's connection: the named one, or a random one without a name."""
+        candidates = [n for n, node in self.nodes.items() if node is not None and n not in self.frozen]
         if name is not None:
-            able = [n for n in able if n == name]
-        if not able:
+            candidates = [n for n in candidates if n == name]
+        if not candidates:
             raise NoResponse(f"{name or 'every node'} refuses the connection")
-        return self.nodes[self.random.choice(able)]
+        return self.nodes[self.random.choice(candidates)]
 
     # -- time -----------------------------------------------------------------
 
     def deliver_late(self) -> None:
-        """Carry out now everything that was held back."""
+        """Carry out all delayed actions now."""
         while self.late:
             heapq.heappop(self.late)[2]()
 
     def run(self, duration: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass in steps of 100 ms; whether `until` came true."""
+        """Run for `duration` seconds in steps of 100 ms, or until `until` is true.
+
+        Returns whether `until` became true; without `until`, returns True.
+        """
         end = self.clock.now + seconds(duration)
         while self.clock.now < end:
             self.clock.now += seconds(0.1)
-            self._beats += 1
+            self._step_count += 1
             self.store.expire_leases()
             while self.late and self.late[0][0] <= self.clock.now:
                 heapq.heappop(self.late)[2]()
-            for worker, _ in self._any_order(self.cloud.machines.values()):
+            for worker, _ in self._shuffled(self.cloud.machines.values()):
                 worker.step()
-            for node in self._any_order(self.nodes.values()):
+            for node in self._shuffled(self.nodes.values()):
                 if node is not None and node.platform.node not in self.frozen:
-                    self._step_node(node, self._beats)
+                    self._step_node(node, self._step_count)
             for ref in {f.partition("/")[0] for f, _ in self.running()}:
                 self._check_cancelled(ref)
-            self._keep_for_next()
-            if self._beats % 10 == 0:
+            self._replay_reports_to_new_leader()
+            if self._step_count % 10 == 0:
                 self.starvation_check.observe(self)
             if until is not None and until():
                 return True
         return until is None
 
-    def _any_order(self, things: Iterable) -> list:
-        things = list(things)
+    def _shuffled(self, items: Iterable) -> list:
+        items = list(items)
         if self.network_conditions is not None:
-            self.random.shuffle(things)
-        return things
+            self.random.shuffle(items)
+        return items
 
-    def _step_node(self, node: Node, beat: int) -> None:
+    def _step_node(self, node: Node, step: int) -> None:
         node.watch_store()
-        if beat % 5 == 0:
+        if step % 5 == 0:
             node.leadership.run_once()
         node.stop_tasks()
         for _ in range(4):
             if not node.round():
                 break
-        if beat % 5 == 0:
+        if step % 5 == 0:
             node.machine_monitor.run_once()
-        if beat % 10 == 0:
+        if step % 10 == 0:
             node.fleet.run_once()
             node.ask_siblings()
             node.update_ledger()
 
 
-class _Link:
-    """A node's transport in the simulated world."""
+class _SimulatedTransport:
+    """A node's transport in the simulated site."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world, self._name = world, name
@@ -437,7 +443,7 @@
         return handle() if exchanges is None else exchanges.carry(handle, timeout)
 
 
-def _at_once(function: Callable, *args) -> None:
+def _call_now(function: Callable, *args) -> None:
     function(*args)
 
 
