--- a/tests/reference_placement.py
+++ b/tests/reference_placement.py
@@ -1,4 +1,4 @@
-"""Placement that looks at every machine: the reference that the index of free room is held against."""
+"""Reference placement that scans every machine. Tests compare the free-capacity index with it."""
 
 import heapq
 from collections import Counter
@@ -21,19 +21,19 @@
 from kelpjunction.wire.messages import JobSpec, Shape
 
 
-def _expensive_machines(spec: JobSpec, views: list[MachineView], budget: PriceLimit) -> set[str]:
-    """Which of these machines cost several times the least; each kind of machine is reckoned once."""
-    if budget is NO_PRICE_LIMIT:
+def _expensive_machines(spec: JobSpec, views: list[MachineView], price_limit: PriceLimit) -> set[str]:
+    """Return the machines that cost several times the lowest price. Each kind of machine is evaluated once."""
+    if price_limit is NO_PRICE_LIMIT:
         return set()
     kinds = {(v.type.name, v.spot): v for v in views}
-    dear = {kind for kind, v in kinds.items() if budget.is_expensive(spec, v.type, v.spot)}
-    # What is kept for accelerator work is paid anyway: its rest is given away.
-    return {v.name for v in views if not v.gpu_reserved and (v.type.name, v.spot) in dear} if dear else set()
+    expensive = {kind for kind, v in kinds.items() if price_limit.is_expensive(spec, v.type, v.spot)}
+    # A machine reserved for GPU work is paid for anyway, so its other resources do not count as expensive.
+    return {v.name for v in views if not v.gpu_reserved and (v.type.name, v.spot) in expensive} if expensive else set()
 
 
 def _usable(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView]:
-    """Machines where at least one task of the job could start now."""
-    # On a busy fleet the first comparison rules out nearly all.
+    """Return the machines where at least one task of the job could start now."""
+    # On a busy fleet the comparison of CPUs, which comes first, rules out nearly all machines.
     cpus = spec.cpus - SLACK
     return [
         v
@@ -51,28 +51,29 @@
     views: Iterable[MachineView],
     zones: Counter,
     tasks_by_machine: Counter,
-    budget: PriceLimit = NO_PRICE_LIMIT,
+    price_limit: PriceLimit = NO_PRICE_LIMIT,
 ) -> list[MachineView]:
-    """Machines for up to `count` tasks of an array or service, one entry a task.
+    """Choose machines for up to `count` tasks of an array or service, one entry per task.
 
-    `zones` and `tasks_by_machine` count the job's tasks by zone and machine; both are
-    brought up to date, as are the views.
+    `zones` and `tasks_by_machine` count the job's tasks by zone and by machine. Both
+    counters and the views are updated in place.
     """
     usable = _usable(spec, views)
-    dear = _expensive_machines(spec, usable, budget)
-    if budget.exclude_expensive:
-        usable = [v for v in usable if v.name not in dear]
+    expensive = _expensive_machines(spec, usable, price_limit)
+    if price_limit.exclude_expensive:
+        usable = [v for v in usable if v.name not in expensive]
     if spec.shape is Shape.SERVICE:
-        return _spread_out(spec, count, usable, zones, tasks_by_machine, dear)
-    return _fill_up(spec, count, usable, zones, tasks_by_machine, dear)
+        return _place_service(spec, count, usable, zones, tasks_by_machine, expensive)
+    return _place_array(spec, count, usable, zones, tasks_by_machine, expensive)
 
 
-def _fill_up(
-    spec: JobSpec, count: int, usable: list[MachineView], zones: Counter, mates: Counter, dear: set[str]
+def _place_array(
+    spec: JobSpec, count: int, usable: list[MachineView], zones: Counter, machine_counts: Counter, expensive: set[str]
 ) -> list[MachineView]:
-    """An array: zone by zone, the one with most room first, each machine to the brim.
+    """Place an array zone by zone and fill each machine.
 
-    Few zones mean that few controllers write the job's records.
+    Zones that run tasks of the job come first, then those with most free CPUs.
+    With few zones, few nodes write the job's records.
     """
     free: Counter = Counter()
     for view in usable:
@@ -82,36 +83,37 @@
     for view in sorted(
         usable,
         key=lambda v: (
-            v.suspected, v.name in dear, ranks[v.zone], round(fetch_cost(spec, v), 1), not v.spot, v.cpus, v.name
+            v.suspected, v.name in expensive, ranks[v.zone], round(fetch_cost(spec, v), 1), not v.spot, v.cpus, v.name
         ),
     ):  # fmt: skip
         n = min(view.capacity(spec), count - len(chosen), zone_room(spec, zones, view.zone))
         if n > 0:
             view.allocate(spec, n)
             zones[view.zone] += n
-            mates[view.name] += n
+            machine_counts[view.name] += n
             chosen += [view] * n
         if len(chosen) >= count:
             break
     return chosen
 
 
-def _spread_out(
-    spec: JobSpec, count: int, usable: list[MachineView], zones: Counter, mates: Counter, dear: set[str]
+def _place_service(
+    spec: JobSpec, count: int, usable: list[MachineView], zones: Counter, machine_counts: Counter, expensive: set[str]
 ) -> list[MachineView]:
-    """A service: a lost machine or zone should cost few replicas, and a fetch costs more than the start may take.
+    """Place a service so that the loss of a machine or zone costs few replicas.
 
-    Plain machines are taken evenly.  Boxes with accelerators are filled one
-    after the other: they are dear, and one that holds a single replica for
-    hours can't be returned.
+    Machines that have the image are preferred, because a fetch takes longer than
+    a start may take. Machines without GPUs are used evenly. Machines with GPUs
+    are filled one after the other: they are expensive, and a machine that runs a
+    single replica for hours can't be returned.
     """
 
     def score(view: MachineView) -> tuple:
-        n = mates[view.name]
+        n = machine_counts[view.name]
         free = view.gpus if view.type.gpus else -view.cpus
         return (
             (view.suspected, view.spot, n > 0),
-            (round(fetch_cost(spec, view), 1), view.name in dear, n, free, view.name),
+            (round(fetch_cost(spec, view), 1), view.name in expensive, n, free, view.name),
         )
 
     pools = _by_zone(usable, score)
@@ -123,7 +125,7 @@
         view = pools[zone][0][-1]
         view.allocate(spec)
         zones[zone] += 1
-        mates[view.name] += 1
+        machine_counts[view.name] += 1
         chosen.append(view)
         if view.fits(spec):
             heapq.heapreplace(pools[zone], (*score(view), view))
@@ -135,7 +137,10 @@
 def _by_zone(
     views: Iterable[MachineView], score: Callable[[MachineView], tuple[tuple, tuple]]
 ) -> dict[str, list[tuple]]:
-    """A heap for each zone of (more important, less important, view): taking a view changes its score alone."""
+    """Build a heap per zone with entries (more important score, less important score, view).
+
+    Placing a task on a machine changes only that machine's score.
+    """
     pools: dict[str, list[tuple]] = {}
     for view in views:
         pools.setdefault(view.zone, []).append((*score(view), view))
@@ -144,19 +149,21 @@
     return pools
 
 
-def _best_pool(pools: dict[str, list[tuple]], rank: Callable[[str], Any], open_: Callable[[str], bool]) -> str | None:
-    """The zone whose first machine is best; between the two parts of a score the zone's own rank counts."""
-    able = [z for z, pool in pools.items() if pool and open_(z)]
-    return min(able, key=lambda z: (pools[z][0][0], rank(z), pools[z][0][1]), default=None)
+def _best_pool(
+    pools: dict[str, list[tuple]], rank: Callable[[str], Any], has_room: Callable[[str], bool]
+) -> str | None:
+    """Return the zone whose first machine is best. The zone's rank is compared between the two parts of a score."""
+    open_zones = [z for z, pool in pools.items() if pool and has_room(z)]
+    return min(open_zones, key=lambda z: (pools[z][0][0], rank(z), pools[z][0][1]), default=None)
 
 
 def place_gang(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView] | None:
-    """Machines for a whole gang, one entry a task, or None if it does not fit."""
+    """Choose machines for a whole gang, one entry per task, or return None if it does not fit."""
     usable = _usable(spec, views)
     by_zone: dict[str, list[MachineView]] = {}
     for view in usable:
         by_zone.setdefault(view.zone, []).append(view)
-    # One zone first: a gang that need not cross zones should not.
+    # Try single zones first: a gang is spread over zones only if no zone has room for all of it.
     pools = [by_zone[z] for z in sorted(by_zone)]
     plans = [p for p in (_fill_gang(spec, pool) for pool in pools) if p is not None]
     if not plans and not spec.one_zone:
@@ -171,7 +178,7 @@
 
 
 def _fill_gang(spec: JobSpec, pool: list[MachineView]) -> dict[MachineView, int] | None:
-    """Greedy: the machines that take most first; then swaps to use fewer."""
+    """Plan a gang greedily, machines that take most tasks first, then improve the plan by swapping machines."""
     limit = -(-spec.tasks // 2) if spec.spread else spec.tasks
     room = {v.name: v.capacity(spec) for v in pool}
     order = sorted(
@@ -201,7 +208,7 @@
 
 
 def _swap(spec: JobSpec, plan: dict[str, int], by_name: dict[str, MachineView], room: dict[str, int]) -> None:
-    """Move a machine's tasks to one outside the plan that is better for all of them."""
+    """Move all tasks of a machine to a better machine of its zone that is outside the plan, where there is one."""
     for name in sorted(plan, key=lambda n: plan[n]):
         count = plan[name]
         here = by_name[name]
@@ -236,32 +243,34 @@
     views: Iterable[MachineView],
     victims: dict[str, list[Victim]],
     zones: Counter,
-    rights: PreemptionPolicy,
+    preemption_policy: PreemptionPolicy,
 ) -> list[tuple[MachineView, list[Victim]]]:
-    """Machines where up to `count` tasks of the job gain room at the least loss, and whom to stop there.
+    """Choose machines where up to `count` tasks of the job gain room at the least loss, with the victims on each.
 
-    `zones` counts the job's tasks by zone; it, the views and the victims are
-    brought up to date.
+    `zones` counts the job's tasks by zone. It, the views and the victims are
+    updated in place.
     """
 
     def score(view: MachineView) -> tuple | None:
-        there = victims.get(view.name, ())
-        if not there and not view.fits_ignoring_reservations(spec):
+        candidates = victims.get(view.name, ())
+        if not candidates and not view.fits_ignoring_reservations(spec):
             return None
-        below = [v for v in there if rights.may_preempt(spec, v.spec)]
-        chosen = _enough(spec, view, below)
+        preemptible = [v for v in candidates if preemption_policy.may_preempt(spec, v.spec)]
+        chosen = _cheapest_victims(spec, view, preemptible)
         if chosen is None:
             return None
-        lost = sum((v.loss for v in chosen), timedelta()).total_seconds()
-        return lost + 3 * fetch_cost(spec, view), len(chosen), zones[view.zone], view.name, view, chosen
+        loss_s = sum((v.loss for v in chosen), timedelta()).total_seconds()
+        return loss_s + 3 * fetch_cost(spec, view), len(chosen), zones[view.zone], view.name, view, chosen
 
-    # Services alone may go where a gang that has waited long waits for the rest of its machines to come free:
-    # arrays that found no room elsewhere once filled each of them again, and the gang never began.
-    ours = (
+    # Only services may use a machine held for a gang that has waited long and needs more machines to become free.
+    # Arrays without room elsewhere once filled these machines again and again, and the gang never started.
+    admitting = (
         v for v in views if not v.hold_excludes_arrays or spec.shape is Shape.SERVICE or v.held_for_gang == spec.ref
     )
-    able = [v for v in ours if allowed(spec, v.type, v.zone, v.spot) and not v.suspected and not v.gpu_reserved]
-    heap = [entry for entry in map(score, able) if entry is not None]
+    eligible = [
+        v for v in admitting if allowed(spec, v.type, v.zone, v.spot) and not v.suspected and not v.gpu_reserved
+    ]
+    heap = [entry for entry in map(score, eligible) if entry is not None]
     heapq.heapify(heap)
     found: list[tuple[MachineView, list[Victim]]] = []
     while heap and len(found) < count:
@@ -274,27 +283,27 @@
         view.allocate(spec)
         zones[view.zone] += 1
         found.append((view, chosen))
-        again = score(view)
-        if again is not None:
-            heapq.heappush(heap, again)
+        rescored = score(view)
+        if rescored is not None:
+            heapq.heappush(heap, rescored)
     return found
 
 
-def _enough(spec: JobSpec, view: MachineView, victims: list[Victim]) -> list[Victim] | None:
-    """The cheapest victims on a machine that make room for one task, without needless ones."""
+def _cheapest_victims(spec: JobSpec, view: MachineView, victims: list[Victim]) -> list[Victim] | None:
+    """Return the cheapest victims on a machine that make room for one task, without unnecessary ones, or None."""
     free = [view.cpus, view.gpus, view.memory]
-    need = (spec.cpus, spec.gpus, spec.memory)
+    needed = (spec.cpus, spec.gpus, spec.memory)
     chosen: list[Victim] = []
     for victim in sorted(victims, key=lambda v: (v.priority, v.loss)):
-        if all(f + SLACK >= n for f, n in zip(free, need, strict=True)):
+        if all(f + SLACK >= n for f, n in zip(free, needed, strict=True)):
             break
         chosen.append(victim)
         free = [f + x for f, x in zip(free, (victim.spec.cpus, victim.spec.gpus, victim.spec.memory), strict=True)]
-    if any(f + SLACK < n for f, n in zip(free, need, strict=True)):
+    if any(f + SLACK < n for f, n in zip(free, needed, strict=True)):
         return None
     for victim in list(reversed(chosen)):
         without = [f - x for f, x in zip(free, (victim.spec.cpus, victim.spec.gpus, victim.spec.memory), strict=True)]
-        if len(chosen) > 1 and all(f + SLACK >= n for f, n in zip(without, need, strict=True)):
+        if len(chosen) > 1 and all(f + SLACK >= n for f, n in zip(without, needed, strict=True)):
             chosen.remove(victim)
             free = without
     return chosen
--- a/tests/test_free_capacity_index.py
+++ b/tests/test_free_capacity_index.py
@@ -1,4 +1,4 @@
-"""The index of free room: it chooses what placement chose that looked at every machine, tie by tie."""
+"""The free-capacity index must choose the same machines, also in ties, as placement that scans every machine."""
 
 from collections import Counter
 from dataclasses import replace
@@ -36,11 +36,11 @@
 
 @st.composite
 def machines(draw) -> list[dict]:
-    """Fields of the views of some machines, many of them alike."""
+    """Draw the fields of the views of some machines, many of which are alike."""
     found = []
     for number in range(draw(st.integers(1, 16))):
         type_ = draw(st.sampled_from(TYPES))
-        kept = draw(st.integers(0, 5)) == 0
+        gpu_reserved = draw(st.integers(0, 5)) == 0
         found.append(
             {
                 "name": f"n-{number:02}",
@@ -54,9 +54,9 @@
                 "fetching_images": draw(st.sets(st.sampled_from(IMAGES), max_size=2)),
                 "suspected": draw(st.integers(0, 5)) == 0,
                 "held_for_gang": draw(st.sampled_from((None, None, None, "j-1", "j-9"))),
-                "gpu_reserved": kept,
-                "gpu_reserved_cpus": 4.0 if kept else 0.0,
-                "gpu_reserved_memory": 8.0 if kept else 0.0,
+                "gpu_reserved": gpu_reserved,
+                "gpu_reserved_cpus": 4.0 if gpu_reserved else 0.0,
+                "gpu_reserved_memory": 8.0 if gpu_reserved else 0.0,
             }
         )
     return found
@@ -79,14 +79,14 @@
     )  # fmt: skip
 
 
-budgets = st.sampled_from(
+price_limits = st.sampled_from(
     (NO_PRICE_LIMIT, PriceLimit(0.1, False), PriceLimit(0.1, True), PriceLimit(0.02, False), PriceLimit(0.02, True))
 )
-asked = st.lists(
+placement_requests = st.lists(
     st.tuples(
         jobs(),
         st.integers(1, 12),
-        budgets,
+        price_limits,
         st.dictionaries(st.sampled_from([f"n-{n:02}" for n in range(16)]), st.integers(1, 3), max_size=3),
     ),
     min_size=1,
@@ -101,10 +101,10 @@
 
 
 def build_index(views: list[MachineView]) -> FreeCapacityIndex:
-    room = FreeCapacityIndex(views)
+    index = FreeCapacityIndex(views)
     for view in views:
-        view.on_write = room.mark_dirty
-    return room
+        view.on_write = index.mark_dirty
+    return index
 
 
 def capacity_state(views) -> list[tuple]:
@@ -112,7 +112,7 @@
 
 
 @settings(max_examples=200)
-@given(machines(), asked)
+@given(machines(), placement_requests)
 def test_index_places_arrays_and_services_like_full_scan(fields, wanted):
     """One index serves several jobs in turn, each of which changes the room that the next finds."""
     looked_at, kept = make_views(fields), make_views(fields)
@@ -132,7 +132,12 @@
 
 
 @settings(max_examples=100)
-@given(machines(), asked, st.sets(st.sampled_from([f"n-{n:02}" for n in range(16)])), st.sets(st.sampled_from(ZONES)))
+@given(
+    machines(),
+    placement_requests,
+    st.sets(st.sampled_from([f"n-{n:02}" for n in range(16)])),
+    st.sets(st.sampled_from(ZONES)),
+)
 def test_filtered_selection_places_like_full_scan(fields, wanted, without, zones):
     looked_at, kept = make_views(fields), make_views(fields)
     room = build_index(kept)
@@ -160,7 +165,7 @@
 
 @st.composite
 def victims_on_machine(draw, machine: int) -> list[Victim]:
-    """Tasks on a machine that might be stopped."""
+    """Draw the tasks on a machine that might be preempted."""
     found = []
     for number in range(draw(st.integers(0, 3))):
         spec = replace(draw(jobs()), ref=f"j-{machine}{number}", priority=draw(st.sampled_from(list(Priority))))
@@ -219,10 +224,10 @@
     assert kept_buckets == made_buckets
 
 
-def test_full_machines_are_not_looked_at():
-    """A round on a full fleet once looked at each of its machines for each job."""
+def test_full_machines_are_not_examined():
+    """A round on a full fleet used to examine every machine for every job."""
     full = [MachineView(f"n-{n:04}", TYPES[0], "a", False, 0.0, 0.0, 0.0) for n in range(500)]
-    room = FreeCapacityIndex([*full, MachineView("n-9999", TYPES[0], "a", False, 8.0, 0.0, 32.0)])
+    index = FreeCapacityIndex([*full, MachineView("n-9999", TYPES[0], "a", False, 8.0, 0.0, 32.0)])
     spec = parse_job(
         {
             "ref": "j-1", "stripe": "s", "crew": "red", "shape": "batch", "urgency": "standard", "fronds": 4,
@@ -230,14 +235,14 @@
             "apart": False, "driftwood": False, "expect_s": 0.0, "mark_s": 0.0, "stow_s": 0.0,
         }
     )  # fmt: skip
-    assert [list(b.names) for b in room.select_all().buckets(spec)] == [["n-9999"]]
+    assert [list(b.names) for b in index.select_all().buckets(spec)] == [["n-9999"]]
 
 
 @pytest.mark.parametrize("shape", ["batch", "service"])
-def test_a_machine_that_is_not_ready_is_passed_over_when_its_turn_comes(shape):
+def test_place_skips_machines_that_are_not_ready(shape):
     views = [MachineView(f"n-{n}", TYPES[0], "a", False, 8.0, 0.0, 32.0) for n in range(3)]
-    choice = build_index(views).select_all()
-    choice = choice.__class__(choice.index, ready=lambda view: view.name != "n-0")
+    selection = build_index(views).select_all()
+    selection = selection.__class__(selection.index, ready=lambda view: view.name != "n-0")
     spec = parse_job(
         {
             "ref": "j-1", "stripe": "s", "crew": "red", "shape": shape, "urgency": "standard", "fronds": 4,
@@ -245,4 +250,4 @@
             "apart": False, "driftwood": False, "expect_s": 0.0, "mark_s": 0.0, "stow_s": 0.0,
         }
     )  # fmt: skip
-    assert [v.name for v in place(spec, 4, choice, Counter(), Counter())] == ["n-1", "n-2"]
+    assert [v.name for v in place(spec, 4, selection, Counter(), Counter())] == ["n-1", "n-2"]
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -1,4 +1,4 @@
-"""Settings, the command line, and what users and workers send."""
+"""Tests of the settings, the command line, and the messages from users and workers."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -55,7 +55,7 @@
         ("cpus_max = 40.0", "cpus_max = 8.0", "red: cpus_max must be at least cpus"),
     ],
 )
-def test_a_setting_that_cannot_be_right_is_refused_by_name(tmp_path, good, bad, named):
+def test_invalid_setting_is_refused_by_name(tmp_path, good, bad, named):
     text = EXAMPLE.read_text()
     assert text.count(good) == 1
     (tmp_path / "bad.toml").write_text(text.replace(good, bad))
@@ -91,8 +91,8 @@
         parse_job(GOOD | change)
 
 
-def test_null_and_absent_are_alike_where_null_may_be_and_unknown_fields_are_not_kept():
-    """Any other field that is left out was forgotten: such a job was taken, and ran with what we made up for it."""
+def test_null_equals_absent_and_unknown_fields_are_dropped():
+    """A submission that lacked any other field used to be accepted, and the job ran with defaults made up by us."""
     spec = parse_job(GOOD)
     assert spec == parse_job({k: v for k, v in GOOD.items() if v is not None})
     assert spec == parse_job(GOOD | {"hulls": None, "bay": None, "due_s": None})
@@ -110,7 +110,7 @@
         parse_report(b"\xff")
 
 
-def test_submission_that_can_never_run_gets_422_and_one_that_can_not_be_judged_503():
+def test_infeasible_submission_gets_422_and_any_gets_503_while_node_starts():
     world = World()
     early = world.nodes["holdfast-1"].intake.submit(orjson.dumps(GOOD))
     assert (early.status, early.retry_after is not None) == (503, True)
@@ -123,8 +123,8 @@
     assert world.nodes["holdfast-2"].intake.status("j-77").status == 404
 
 
-def test_sockets_to_workers_are_bounded_however_many_hang_or_stay_idle():
-    """Found by an incident: one node served every machine and had all its 500 sockets taken."""
+def test_number_of_sockets_to_workers_is_bounded():
+    """Found by an incident: one node served all machines, and all of its 500 sockets were in use."""
 
     def answer(environ, start_response):
         start_response("200 OK", [("Content-Length", "2")])
@@ -137,7 +137,7 @@
     addresses = [f"127.0.0.1:{server.server_port}" for server in servers]
     jobs = [gevent.spawn(transport.request, a, "GET", "/status", None, timedelta(seconds=5)) for a in addresses]
     gevent.joinall(jobs)
-    assert [job.value.status for job in jobs] == [200] * 6, "they take turns"
+    assert [job.value.status for job in jobs] == [200] * 6, "the requests share three sockets"
     assert len(transport._clients) == 3
     assert transport.request(addresses[0], "GET", "/status", None, timedelta(seconds=5)).status == 200
     for server in servers:
@@ -145,20 +145,20 @@
 
 
 class RecordingServer:
-    """A WSGI application that keeps what it was asked, and a raw connection to it."""
+    """A WSGI server that records its requests, with a client that uses a raw connection."""
 
     def __init__(self) -> None:
-        self.asked: list[dict] = []
+        self.requests: list[dict] = []
         self.server = WSGIServer(("127.0.0.1", 0), self, log=None, error_log=None, handler_class=Handler)
         self.server.start()
 
     def __call__(self, environ, start_response):
-        self.asked.append(environ | {"body": environ["wsgi.input"].read()})
+        self.requests.append(environ | {"body": environ["wsgi.input"].read()})
         start_response("200 OK", [("Content-Length", "2")])
         return [b"{}"]
 
-    def talk(self, *requests: str) -> list[bytes]:
-        """What each of these requests is answered with on one connection, in one piece, until it is closed."""
+    def exchange(self, *requests: str) -> list[bytes]:
+        """Send the requests on one connection; return what a single `recv` yields for each of them."""
         answers = []
         with gevent.socket.create_connection(("127.0.0.1", self.server.server_port)) as sock:
             for request in requests:
@@ -174,13 +174,13 @@
 
 
 def test_keep_alive_responses_leave_in_one_piece():
-    """Headers and body were two packets and two calls; reading headers as an e-mail took most of an exchange."""
+    """Headers and body used to be two packets and two calls, and the e-mail header parser took most of an exchange."""
     post = "POST /checkin HTTP/1.1\r\nhost: a\r\nCONTENT-LENGTH: 4\r\nX-Two: 1\r\nx-two: 2\r\n\r\nbody"
     chunked = "POST /api/jobs HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     with RecordingServer() as echo:
-        answers = echo.talk(post, chunked, "GET /api/jobs/j-1?x=1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+        answers = echo.exchange(post, chunked, "GET /api/jobs/j-1?x=1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
     assert all(a.startswith(b"HTTP/1.1 200 OK\r\n") and a.endswith(b"\r\n\r\n{}") for a in answers)
-    first, second, third = echo.asked
+    first, second, third = echo.requests
     assert (first["body"], first["HTTP_X_TWO"], first["CONTENT_LENGTH"]) == (b"body", "1,2", "4")
     assert (second["body"], third["PATH_INFO"], third["QUERY_STRING"]) == (b"abc", "/api/jobs/j-1", "x=1")
 
@@ -197,27 +197,27 @@
         "X-Long: " + "a" * 20_000 + "\r\n",
     ],
 )
-def test_headers_that_two_readers_could_take_differently_are_refused(headers):
+def test_ambiguous_http_headers_are_refused(headers):
     with RecordingServer() as echo:
-        (answer,) = echo.talk(f"POST /checkin HTTP/1.1\r\nHost: a\r\n{headers}\r\nbody")
+        (answer,) = echo.exchange(f"POST /checkin HTTP/1.1\r\nHost: a\r\n{headers}\r\nbody")
     assert answer.startswith(b"HTTP/1.1 400")
-    assert echo.asked == []
+    assert echo.requests == []
 
 
-def test_metrics_are_served_on_the_internal_face_where_they_are_turned_on():
+def test_metrics_are_served_on_internal_address_if_enabled():
     world = World()
     world.run(6)
     world.submit("j-1", 3)
     world.run(6)
     node = world.leader()
 
-    def asked(application) -> tuple[str, bytes]:
+    def get_metrics(application) -> tuple[str, bytes]:
         statuses = []
         body = application({"PATH_INFO": "/metrics"}, lambda status, headers: statuses.append(status))
         return statuses[0], b"".join(body)
 
-    assert asked(SiblingApplication(node.intake))[0].startswith("404")
-    status, text = asked(SiblingApplication(node.intake, Metrics(node)))
+    assert get_metrics(SiblingApplication(node.intake))[0].startswith("404")
+    status, text = get_metrics(SiblingApplication(node.intake, Metrics(node)))
     figures = dict(line.split(" ") for line in text.decode().splitlines() if not line.startswith("#"))
     assert status.startswith("200")
     assert float(figures["kelpjunction_leads"]) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A scale run: its smallest step on real processes, what it refuses, and what its checker notices."""
+"""Scale runs: the smallest plan on real processes, refused plans, and the breaches that the checker detects."""
 
 import socket
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 def free_ports() -> int:
-    """The first of a stretch of ports that nothing listens on."""
+    """Return the first port of a range, chosen from a port that was free just now."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return min(probe.getsockname()[1], 60000)
@@ -39,7 +39,7 @@
     return CliRunner().invoke(main, ["lab", "scale", *args])
 
 
-def test_the_smallest_step_plays_on_real_processes(tmp_path):
+def test_smallest_plan_runs_on_real_processes(tmp_path):
     out = tmp_path / "figures.json"
     result = invoke(str(TINY), "--json", "--out", str(out), "--port", str(free_ports()))
     figures = orjson.loads(out.read_bytes())
@@ -50,7 +50,7 @@
         "controllers": 4,
         "state service": 1,
         "workers": 1,
-    }  # fmt: skip  (the leader was killed, and is a process anew)
+    }  # fmt: skip  (4 controllers: the killed leader was started again as a new process)
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         ("count = 20", "count = 20, lease_s = 60", "workers.cancel_s must be above workers.lease_s"),
     ],
 )
-def test_a_wrong_plan_is_refused_by_the_name_of_its_field(tmp_path, before, after, named):
+def test_invalid_plan_is_refused_by_field_name(tmp_path, before, after, named):
     file = tmp_path / "plan.toml"
     file.write_text(PLAN.replace(before, after).replace("[[load]]", "teams = {cpus_max = 30}\n[[load]]", 1))
     result = invoke(str(file))
@@ -74,7 +74,7 @@
     assert named in result.stderr
 
 
-def test_what_is_too_large_for_the_machine_is_refused_before_anything_starts(tmp_path):
+def test_plan_too_large_for_the_machine_is_refused_before_start(tmp_path):
     file = tmp_path / "plan.toml"
     file.write_text(PLAN.replace("workers = {count = 20}", "workers = {count = 9000, processes = 100}"))
     plan = load_plan(file)
@@ -83,27 +83,27 @@
     plan.check_bounds(memory_mb=40000)
 
 
-def test_a_machine_that_died_never_carries_out_what_it_was_told_meanwhile():
-    """A hollow machine once woke up four seconds after its death, and ran what a controller had sent it."""
+def test_dead_machine_runs_no_commands():
+    """A scale run's machine once resumed four seconds after its death and ran the commands sent to it in between."""
     world = World(machines=1)
     worker = next(w for w, _ in world.cloud.machines.values())
     world.run(1)
     world.jobs["j-1"] = JOB | {"expect_s": 1.0}
     handle = machine_handle(worker, wait=lambda duration: None)
-    order = {"verb": "run", "frond": "j-1/0", "launch": 1}
-    body = {"helm": worker.token, "watch": worker.session, "orders": [order]}
+    command = {"verb": "run", "frond": "j-1/0", "launch": 1}
+    body = {"helm": worker.token, "watch": worker.session, "orders": [command]}
     assert handle("POST", "/commands", body).status == 200 and len(worker.tasks) == 1
     worker.die()
     assert handle("POST", "/commands", body).status == 503 and not worker.tasks
 
 
-# -- the checker -------------------------------------------------------------------
+# -- checker -----------------------------------------------------------------------
 
 JOB = {"ref": "j-1", "crew": "red", "shape": "batch", "fronds": 2, "cpus": 2.0, "bay": None}
 
 
 def checker_with_job(**job) -> Checker:
-    """A checker that knows one job, two machines and two processes, which have told all up to 0."""
+    """A checker with one job, two machines and two processes that have sent all events up to time 0."""
     checker = Checker({"red": 3.0}, cancel_s=10.0)
     for name in ("one", "two"):
         checker.process_began(name, 0.0)
@@ -122,7 +122,7 @@
 
 
 def test_checker_orders_events_by_time_not_arrival():
-    """Two processes tell at different times; what counts is when it happened."""
+    """Two processes send their events at different times. The checker must use the times of the events."""
     checker = checker_with_job()
     checker.told_upto("two", 9.0, [start_event(5.0, "n-2")])
     assert checker.starts == 0
@@ -130,14 +130,14 @@
     assert (checker.broken, checker.starts, checker.running) == ([], 2, 1)
 
 
-def test_a_task_on_two_machines_and_a_team_above_its_limit_are_noticed():
+def test_checker_detects_task_on_two_machines_and_team_above_limit():
     checker = checker_with_job()
     checker.told_upto("one", 9.0, [start_event(1.0, "n-1")])
     checker.told_upto("two", 9.0, [start_event(2.0, "n-2")])
     assert checker.broken == ["ran_twice: j-1/0 on n-2 while on ['n-1']", "quota: red uses 4.0 of 3.0"]
 
 
-def test_a_machine_that_lost_all_its_tasks_holds_none():
+def test_cleared_machine_has_no_tasks():
     checker = checker_with_job()
     checker.told_upto("one", 3.0, [start_event(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
     checker.told_upto("two", 9.0, [start_event(2.5, "n-2")])
@@ -145,7 +145,7 @@
     assert (checker.broken, checker.running) == ([], 1)
 
 
-def test_what_a_cancelled_job_may_not_do_is_noticed():
+def test_checker_detects_starts_and_remaining_tasks_of_cancelled_job():
     checker = checker_with_job()
     checker.asked_to_cancel("j-1")
     checker.told_upto("one", 2.0, [start_event(1.0, "n-1")])
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -1,4 +1,4 @@
-"""The pure parts: order, room, placement, victims, renting."""
+"""Tests of pure functions: job order, team limits, placement, preemption and rental planning."""
 
 from collections import Counter
 from dataclasses import replace
@@ -39,7 +39,7 @@
     return MachineView(name, type_, zone, spot, type_.cpus, type_.gpus, type_.memory, **fields)
 
 
-def test_order_is_by_weighted_deficit_and_credit_lets_a_fresh_service_pass_an_old_array():
+def test_order_is_by_weighted_deficit_and_arrival_credit_puts_new_service_before_old_array():
     jobs = [
         PendingJob("j-array", 10, NOW - timedelta(seconds=60), ZERO),
         PendingJob("j-service", 100, NOW, ZERO),
@@ -50,19 +50,25 @@
 
 def test_many_services_of_one_team_do_not_starve_a_gang():
     teams = {"red": Team("red", 4, 0, None, None), "blue": Team("blue", 4, 0, None, None)}
-    came = {f"j-{i}": NOW - timedelta(seconds=60 - i) for i in range(60)}
-    claims = {"red": [JobDemand(ref, 2.0, 0.0) for ref in came], "blue": [JobDemand("j-gang", 4.0, 0.0)]}
-    kept = weight_factors({"red": list(came), "blue": ["j-gang"]}, claims, teams)
-    assert kept["j-gang"] == kept["j-0"] == kept["j-1"] == 1.0, "inside its guarantee a job keeps all its weight"
-    swarm = [PendingJob(ref, 100 * kept[ref], at, ZERO) for ref, at in came.items()]
+    submitted = {f"j-{i}": NOW - timedelta(seconds=60 - i) for i in range(60)}
+    demands = {"red": [JobDemand(ref, 2.0, 0.0) for ref in submitted], "blue": [JobDemand("j-gang", 4.0, 0.0)]}
+    factors = weight_factors({"red": list(submitted), "blue": ["j-gang"]}, demands, teams)
+    assert factors["j-gang"] == factors["j-0"] == factors["j-1"] == 1.0, (
+        "a job within its team's guarantee keeps its full weight"
+    )
+    services = [PendingJob(ref, 100 * factors[ref], at, ZERO) for ref, at in submitted.items()]
     order = in_order(
-        [*swarm, PendingJob("j-gang", kept["j-gang"], NOW - timedelta(seconds=60), ZERO)], NOW, timedelta(seconds=30)
+        [*services, PendingJob("j-gang", factors["j-gang"], NOW - timedelta(seconds=60), ZERO)],
+        NOW,
+        timedelta(seconds=30),
     )
     assert order[:2] == ["j-0", "j-1"]
-    assert order.index("j-gang") < order.index("j-59"), "those who came last wait behind the gang"
-    apart = [PendingJob(ref, 100, at, ZERO) for ref, at in came.items()]
-    alone = in_order([*apart, PendingJob("j-gang", 1, NOW - timedelta(seconds=60), ZERO)], NOW, timedelta(seconds=30))
-    assert alone[-1] == "j-gang", "without shares the gang would be last"
+    assert order.index("j-gang") < order.index("j-59"), "the services submitted last are ordered after the gang"
+    unscaled = [PendingJob(ref, 100, at, ZERO) for ref, at in submitted.items()]
+    order_unscaled = in_order(
+        [*unscaled, PendingJob("j-gang", 1, NOW - timedelta(seconds=60), ZERO)], NOW, timedelta(seconds=30)
+    )
+    assert order_unscaled[-1] == "j-gang", "without weight factors the gang is last"
 
 
 def test_team_limit_counts_usage_and_none_means_unlimited():
@@ -102,7 +108,7 @@
     assert place_gang(job(shape="ensemble", fronds=99, together=True), views) is None
 
 
-def test_victims_are_those_that_lose_least():
+def test_preemption_chooses_victims_with_least_loss():
     full = [view("n-1"), view("n-2")]
     for v in full:
         v.allocate(job(), 4)
@@ -127,15 +133,15 @@
 
 
 def test_plan_rentals_packs_small_jobs_onto_shared_machines():
-    """Counted on a day of the fleet: some 200 requests, most for one machine, since each job asked for its own."""
+    """Counted on one day of the fleet: about 200 rental requests, mostly for one machine, as each job made its own."""
     catalog = {"small": SMALL, "gpu": GPU}
     wants = [CapacityRequest(job(f"j-{n}"), 1) for n in range(12)]
     requests = plan_rentals(wants, catalog, {"small": 1}, set(), {}, most=50)
-    assert sum(r.count for r in requests) == 2, "four tasks to a machine, and one machine is on its way"
+    assert sum(r.count for r in requests) == 2, "each machine runs four tasks, and one machine is already rented"
 
 
 def test_plan_rentals_alternates_types_and_keeps_one_zone_gang_together():
-    """Counted on a day of the fleet: 25 gangs waited 40 s until small machines had all been asked for."""
+    """Counted on one day of the fleet: 25 gangs waited 40 s until all small machines had been requested."""
     catalog = {"small": SMALL, "gpu": GPU}
     taken = {Offer("small", "a", True)}
     gang = job("j-2", shape="ensemble", fronds=2, cpus=30.0, accelerators=4.0, ram_gb=8.0, together=True)
@@ -179,7 +185,7 @@
     assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, most=50) == []
     catalog = {"small": replace(SMALL, price=2.5, spot_price=1.0)}
     assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, most=50) != [], (
-        "little is saved by waiting"
+        "waiting for spot machines would save little"
     )
 
 
@@ -208,12 +214,12 @@
 
 
 def test_job_is_escalated_while_large_and_not_fully_started():
-    giants = LargeJobs({"red": Team("red", 4, 0, 100, None), "guest": Team("guest", 0, 0, None, None)})
+    large_jobs = LargeJobs({"red": Team("red", 4, 0, 100, None), "guest": Team("guest", 0, 0, None, None)})
     large, small = job(fronds=90), job("j-2", fronds=30)
-    giants.note([large, small])
+    large_jobs.note([large, small])
     late, soon = timedelta(seconds=121), timedelta(seconds=119)
-    assert giants.is_escalated(large, 10, late)
-    assert not giants.is_escalated(large, 10, soon)
-    assert not giants.is_escalated(small, 10, late)
-    assert not giants.is_escalated(large, 50, late), "100 CPUs are all that its team may use"
-    assert not giants.is_escalated(replace(large, team="guest"), 0, late)
+    assert large_jobs.is_escalated(large, 10, late)
+    assert not large_jobs.is_escalated(large, 10, soon)
+    assert not large_jobs.is_escalated(small, 10, late)
+    assert not large_jobs.is_escalated(large, 50, late), "50 tasks use 100 CPUs, its team's limit"
+    assert not large_jobs.is_escalated(replace(large, team="guest"), 0, late)
--- a/tests/test_write_rate_limiter.py
+++ b/tests/test_write_rate_limiter.py
@@ -1,4 +1,7 @@
-"""The state service's budget: who writes next, and what holds whatever is refused (docs/budget.md)."""
+"""The limiter of writes to the state service: the order of purposes, and the rules that hold when writes are refused.
+
+See docs/budget.md.
+"""
 
 from datetime import timedelta
 
@@ -14,57 +17,59 @@
 
 
 def store_limits_for_rate(changes: float) -> StoreLimits:
-    """A state service of so many changes a second; requests in proportion, as the third place has them."""
+    """Limits of a state service with this many changes per second and proportional requests, as at the third site."""
     return StoreLimits(max(60.0, changes * 8 / 3), changes, 8192, 12)
 
 
 # Decisions
 
 
-def test_the_less_urgent_leave_room_for_the_urgent():
-    budget = WriteRateLimiter(30.0, ZERO)
-    assert [budget.available_changes(p, ZERO)
+def test_less_urgent_purposes_leave_capacity_for_urgent():
+    limiter = WriteRateLimiter(30.0, ZERO)
+    assert [limiter.available_changes(p, ZERO)
         for p in (Purpose.COORDINATION, Purpose.SUBMIT, Purpose.ARRAY, Purpose.BEST_EFFORT)] == [
         30, 28, 22, 12,
     ]  # fmt: skip
-    assert budget.try_reserve(Purpose.ARRAY, 22, ZERO)
-    assert not budget.try_reserve(Purpose.ARRAY, 1, ZERO)
-    assert budget.try_reserve(Purpose.SERVICE, 5, ZERO), "a service finds what the array had to leave"
-    assert budget.try_reserve(Purpose.COORDINATION, 4, ZERO), "a hold waits for nothing"
-    assert budget.state is LimiterState.THROTTLED
+    assert limiter.try_reserve(Purpose.ARRAY, 22, ZERO)
+    assert not limiter.try_reserve(Purpose.ARRAY, 1, ZERO)
+    assert limiter.try_reserve(Purpose.SERVICE, 5, ZERO), "capacity reserved from arrays is available to a service"
+    assert limiter.try_reserve(Purpose.COORDINATION, 4, ZERO), "coordination writes are not delayed"
+    assert limiter.state is LimiterState.THROTTLED
 
 
 def test_purpose_past_max_delay_is_admitted_first():
-    budget, now = WriteRateLimiter(10.0, ZERO), ZERO
-    assert budget.try_reserve(Purpose.COORDINATION, 10, now)
-    assert not budget.try_reserve(Purpose.RESULT, 8, now)
-    took = None
-    while took is None and now < seconds(10):
+    limiter, now = WriteRateLimiter(10.0, ZERO), ZERO
+    assert limiter.try_reserve(Purpose.COORDINATION, 10, now)
+    assert not limiter.try_reserve(Purpose.RESULT, 8, now)
+    admitted_at = None
+    while admitted_at is None and now < seconds(10):
         now += seconds(0.1)
-        budget.try_reserve(Purpose.SERVICE, 1, now)
-        if budget.try_reserve(Purpose.RESULT, 8, now):
-            took = now
-    assert took is not None and took <= PURPOSE_POLICIES[Purpose.RESULT].max_delay + seconds(1)
+        limiter.try_reserve(Purpose.SERVICE, 1, now)
+        if limiter.try_reserve(Purpose.RESULT, 8, now):
+            admitted_at = now
+    assert admitted_at is not None and admitted_at <= PURPOSE_POLICIES[Purpose.RESULT].max_delay + seconds(1)
 
 
 def test_idle_purpose_holds_back_no_capacity():
-    budget = WriteRateLimiter(10.0, ZERO)
-    assert budget.try_reserve(Purpose.COORDINATION, 10, ZERO)
-    assert not budget.try_reserve(Purpose.RESULT, 10, ZERO)
-    assert budget.available_changes(Purpose.GANG, seconds(5)) == 8, "its writer found nothing left to write"
+    limiter = WriteRateLimiter(10.0, ZERO)
+    assert limiter.try_reserve(Purpose.COORDINATION, 10, ZERO)
+    assert not limiter.try_reserve(Purpose.RESULT, 10, ZERO)
+    assert limiter.available_changes(Purpose.GANG, seconds(5)) == 8, (
+        "no capacity is held for a purpose that has not asked again"
+    )
 
 
-def test_changes_of_others_and_refusals_count():
-    budget = WriteRateLimiter(30.0, ZERO)
-    budget.on_foreign_changes(20, ZERO)
-    assert budget.available_changes(Purpose.CANCEL_OR_FENCE, ZERO) == 30, "it goes at once all the same"
-    assert budget.available_changes(Purpose.SERVICE, ZERO) == 7
-    assert budget.try_reserve(Purpose.SERVICE, 6, ZERO)
-    budget.on_refusal(Purpose.SERVICE, 6, ZERO)
-    assert budget.available_changes(Purpose.SERVICE, ZERO) == 0, "there was room for fewer than six"
-    assert budget.state is LimiterState.REFUSED
-    assert budget.refusals[Purpose.SERVICE] == 1 and budget.spent[Purpose.SERVICE] == 0
-    assert budget.available_changes(Purpose.SERVICE, seconds(1)) > 20
+def test_foreign_changes_and_refusals_reduce_capacity():
+    limiter = WriteRateLimiter(30.0, ZERO)
+    limiter.on_foreign_changes(20, ZERO)
+    assert limiter.available_changes(Purpose.CANCEL_OR_FENCE, ZERO) == 30, "cancellations and fencing are not delayed"
+    assert limiter.available_changes(Purpose.SERVICE, ZERO) == 7
+    assert limiter.try_reserve(Purpose.SERVICE, 6, ZERO)
+    limiter.on_refusal(Purpose.SERVICE, 6, ZERO)
+    assert limiter.available_changes(Purpose.SERVICE, ZERO) == 0, "the refused write shows fewer than six were left"
+    assert limiter.state is LimiterState.REFUSED
+    assert limiter.refusals[Purpose.SERVICE] == 1 and limiter.spent[Purpose.SERVICE] == 0
+    assert limiter.available_changes(Purpose.SERVICE, seconds(1)) > 20
 
 
 # Nodes
@@ -73,16 +78,16 @@
 def test_node_subtracts_foreign_changes_from_capacity():
     world = ready_world()
     node, other = (world.nodes[name] for name in ("holdfast-0", "holdfast-1"))
-    left = node.store.available_changes(Purpose.BEST_EFFORT)
+    available_before = node.store.available_changes(Purpose.BEST_EFFORT)
     for n in range(10):
         assert other.store.commit({}, {f"l/other/{n}": n}).revision
     node.watch_store()
-    assert node.store.available_changes(Purpose.BEST_EFFORT) == left - 10
+    assert node.store.available_changes(Purpose.BEST_EFFORT) == available_before - 10
 
 
 @pytest.mark.parametrize("changes", [5, 15, 30, 100])
-def test_rules_hold_and_work_goes_on_at_any_rate(changes):
-    """Scarcity costs speed, never everything: at 30 changes a second nothing was served, and rules were broken."""
+def test_rules_hold_and_jobs_finish_at_any_rate(changes):
+    """A low rate slows work down but must not stop it. At 30 changes/s, no job was served and rules were broken."""
     world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(changes))
     refs = [f"j-{n:03d}" for n in range(18)]
     shapes = ({"shape": "service", "urgency": "prod", "apart": True}, {"shape": "batch"}, {"shape": "ensemble"})
@@ -98,7 +103,7 @@
         if node is None:
             world.start_node(name)
     services = [ref for ref in refs[::3] if world.last_told_state.get(ref)]
-    assert world.run(20, lambda: all(world.abort(ref) == 200 for ref in services)), "as users repeat it"
+    assert world.run(20, lambda: all(world.abort(ref) == 200 for ref in services)), "users retry the cancellation"
     world.run(60)
     assert world.broken == []
     accepted = [ref for ref in refs if world.last_told_state.get(ref)]
@@ -107,8 +112,8 @@
     assert world.running() == []
 
 
-def test_no_leader_is_lost_for_refusals_of_changes():
-    """Found at the third place: writes that were sent again and again took the requests that holds needed."""
+def test_refused_changes_cause_no_leader_change():
+    """Found at the third site: repeated writes used up the requests that renewals of store leases needed."""
     world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(5))
     leader = world.leader_name()
     for n in range(40):
@@ -119,15 +124,15 @@
     assert world.broken == []
 
 
-def test_cancelled_tasks_are_stopped_though_every_write_of_a_round_is_refused():
-    """Found at the third place: a round stood for 40 s behind its writes, and cancelled tasks ran on."""
+def test_cancelled_tasks_are_stopped_while_all_writes_are_refused():
+    """Found at the third site: a round waited 40 s for its writes, and cancelled tasks kept running."""
     world = ready_world(machines=6)
     world.submit("j-1", 4, run_s=600.0)
     world.submit("j-2", 4, run_s=2.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 4)
     for node in world.nodes.values():
         node.store.try_commit = lambda txn, node=node: node.store.commit({"never": 1})
-        node.holder_scheduler.round = lambda: True  # it waits for its writes
+        node.holder_scheduler.round = lambda: True  # stands for a round that waits for its writes
     assert world.abort("j-1") == 200
     assert world.run(5, lambda: world.running("j-1") == [])
 
@@ -140,7 +145,7 @@
     world.abort("j-2")
     world.store.reject_all = True
     world.run(60)
-    assert world.running("j-2") == [], "whatever is refused, a cancelled task's lease ends in time"
+    assert world.running("j-2") == [], "the lease of a cancelled task ends in time although all writes are refused"
     world.store.reject_all = False
     assert world.run(30, lambda: len(world.running("j-1")) == 4)
     world.run(30)
@@ -159,7 +164,7 @@
 # Records
 
 
-def test_a_change_of_many_machines_costs_a_page_and_not_a_key_each():
+def test_change_of_many_machines_writes_pages_not_one_key_each():
     world = ready_world(machines=48, capacity=48)
     before = world.store.applied_changes
     for worker, _ in world.cloud.machines.values():
@@ -167,10 +172,10 @@
     world.run(8)
     machines = {name: m for n in world.nodes.values() for name, m in n.inventory.machines.items()}
     assert {m.state.value for m in machines.values()} == {"leaving"}
-    assert world.store.applied_changes - before < 24, "a key each would be 48"
+    assert world.store.applied_changes - before < 24, "one key per machine would be 48 changes"
 
 
-def test_a_page_that_lags_does_not_bring_a_returned_machine_back():
+def test_stale_page_does_not_restore_returned_machine():
     world = ready_world()
     holder = world.leader()
     zone = holder.blocks.held_zones()[0]
@@ -181,7 +186,7 @@
     assert name not in holder.inventory.machines
 
 
-def test_records_of_machines_as_earlier_versions_wrote_them_do_no_harm():
+def test_machine_records_of_earlier_versions_are_ignored():
     world = ready_world()
     old = {"a": "10.1.0.9:9000", "t": "plain", "z": "a", "s": False, "st": "up", "im": []}
     assert world.leader().store.commit({}, {"l/machine/n-000009": old}).revision
@@ -197,20 +202,20 @@
     world.cloud.is_down = True
     world.submit("j-1", 30, crew="blue", run_s=60.0)
     assert world.run(10, lambda: bool(world.leader().inventory.rental_record.pending_rentals))
-    asked = dict(world.leader().inventory.rental_record.pending_rentals)
-    names = []
+    pending = dict(world.leader().inventory.rental_record.pending_rentals)
+    rental_names = []
     handle = world.cloud.handle
 
-    def noting(method, path, body):
-        names.append(body.get("charter"))
+    def recording_handle(method, path, body):
+        rental_names.append(body.get("charter"))
         return handle(method, path, body)
 
-    world.cloud.handle = noting
+    world.cloud.handle = recording_handle
     world.cloud.is_down = False
     world.kill_node(world.leader_name())
     assert world.run(10, lambda: world.leader() is not None)
     world.run(10)
-    assert set(asked) <= set(names)
+    assert set(pending) <= set(rental_names)
     assert len(world.cloud.machines) <= 6
     assert world.broken == []
 
@@ -223,7 +228,7 @@
     assert RentalRecord.of(page.record()) == page
 
 
-def test_a_machine_that_an_earlier_leader_asked_back_is_returned_though_nobody_knows_it():
+def test_pending_return_of_unknown_machine_is_completed():
     world = ready_world()
     leader = world.leader()
     assert leader.fleet._write_rental_record(back=["n-000999"])
