--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The stand-ins are imported by name from the tests; property tests have the same verdict on every run."""
+"""Puts this directory on the import path for the tests' helpers and makes property tests repeatable."""
 
 import sys
 from pathlib import Path
@@ -6,7 +6,7 @@
 from hypothesis import settings
 
 sys.path.insert(0, str(Path(__file__).parent))
-# On a busy machine an example may take any time, and what is drawn must not differ from run to run.
+# No deadline: on a busy machine an example may take any time. Derandomized: every run draws the same examples.
 settings.register_profile("same", deadline=None, derandomize=True)
 settings.load_profile("same")
 
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -1,4 +1,4 @@
-"""Who holds a block, under which token, and what a holder out of touch does (points 5 and 6 of docs/design.md)."""
+"""Tests of block grants, fencing tokens and holders that lost contact (points 5 and 6 of docs/design.md)."""
 
 import orjson
 from traces import ready_world, zone_of
@@ -6,7 +6,7 @@
 # Tokens
 
 
-def test_every_grant_takes_a_higher_token_and_a_lower_one_is_refused():
+def test_new_holder_gets_token_above_all_earlier_ones():
     world = ready_world()
     dead = world.leader().platform.node
     before = {z: (g.holder, g.token) for z, g in world.leader().blocks.grants.items()}
@@ -29,17 +29,17 @@
     assert world.run(10, lambda: any(n is not old and n.blocks.own_grant("b") for n in world.nodes.values()))
     new = next(n for n in world.nodes.values() if n is not old and n.blocks.own_grant("b"))
     status, answer = old.check_in(report)
-    assert status == 200, "it can't tell an outage from its own cut yet"
+    assert status == 200, "the node can't yet tell an outage of the store from its own disconnection"
     assert orjson.loads(answer)["helm"] < new.blocks.own_token("b")
     old.intake.sibling_has_fresh_mirror = True
     world.run(3)
-    assert old.check_in(report)[0] == 503, "a sibling has news of the store: this node is alone"
+    assert old.check_in(report)[0] == 503, "a sibling's mirror is fresh, so only this node is cut off from the store"
     old.intake.sibling_has_fresh_mirror = False
     world.run(20)
-    assert old.check_in(report)[0] != 200, "its grace without the store is over"
+    assert old.check_in(report)[0] != 200, "the grace period without the store has ended"
 
 
-# A holder that lost touch
+# Holders that lost contact
 
 
 def test_leader_cut_from_the_store_stops_renewing_in_time_for_a_cancellation():
@@ -49,7 +49,7 @@
     old = world.leader()
     world.cut_from_store = {old.platform.node}
     for worker, _ in world.cloud.machines.values():
-        # The zone is cut off too: its workers only ever reach the old leader.
+        # The workers are cut off too: they reach only the old leader.
         worker.node = int(old.platform.node[-1])
     world.filter = lambda source, target, path: "lost" if path in ("/commands", "/status") else None
     world.run(4)
@@ -60,7 +60,7 @@
     assert world.running("j-1") == []
 
 
-def test_services_live_through_an_outage_of_the_store():
+def test_services_keep_running_during_store_outage():
     world = ready_world()
     world.submit("j-1", 3, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
@@ -73,31 +73,31 @@
     assert all(w.session == 1 for w, _ in world.cloud.machines.values())
 
 
-def test_holder_that_reaches_no_worker_gives_its_blocks_up_and_gets_them_back():
-    """Found by an incident: a controller cut from the workers kept its blocks until their leases had ended."""
+def test_holder_that_reaches_no_worker_releases_blocks_and_regains_some():
+    """Found by an incident: a node cut off from all workers kept its blocks until the workers' leases had ended."""
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", urgency="prod", cpus=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 6)
     before = world.running("j-1")
-    deaf = world.leader().platform.node
+    cut_off = world.leader().platform.node
     machines = {w.address for w, _ in world.cloud.machines.values()}
     world.filter = lambda source, target, path: (
-        "lost" if (source == deaf and target in machines) or target == deaf else None
+        "lost" if (source == cut_off and target in machines) or target == cut_off else None
     )
     world.run(12)
-    assert world.nodes[deaf].blocks.held_zones() == []
+    assert world.nodes[cut_off].blocks.held_zones() == []
     world.run(30)
     assert world.running("j-1") == before, "no lease ended"
-    assert len(world.cloud.machines) == 9, "and no machine was blamed"
+    assert len(world.cloud.machines) == 9, "no machine was returned"
     world.filter = lambda *_: None
-    assert world.run(20, lambda: world.nodes[deaf].blocks.held_zones() != [])
+    assert world.run(20, lambda: world.nodes[cut_off].blocks.held_zones() != [])
     assert world.broken == []
 
 
-# Sharing out
+# Distribution of blocks
 
 
-def test_blocks_are_spread_over_the_live_nodes_and_follow_their_deaths():
+def test_blocks_are_spread_over_live_nodes_and_reassigned_on_node_loss():
     world = ready_world()
     world.run(5)
     assert sorted(len(n.blocks.held_zones()) for n in world.nodes.values()) == [1, 1, 1]
@@ -109,12 +109,14 @@
     assert world.broken == []
 
 
-def test_services_restart_in_their_block_while_nobody_leads():
+def test_services_restart_in_their_block_without_leader():
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 3, shape="service", urgency="prod", apart=True)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
     leader = world.leader()
-    frond, machine = next((f, m) for f, m in world.running("j-1") if leader.blocks.own_grant(zone_of(world, m)) is None)
+    task_ref, machine = next(
+        (f, m) for f, m in world.running("j-1") if leader.blocks.own_grant(zone_of(world, m)) is None
+    )
     world.kill_node(leader.platform.node)
     for node in world.nodes.values():
         if node is not None:
@@ -122,13 +124,16 @@
     worker = world.cloud.machines[machine][0]
     worker.session += 1
     worker.tasks.clear()
-    assert world.run(10, lambda: frond in dict(world.running("j-1")))
+    assert world.run(10, lambda: task_ref in dict(world.running("j-1")))
     assert world.leader() is None
     assert world.broken == []
 
 
 def test_own_token_raise_keeps_block_state():
-    """News often overtake the answer; all that is known of the workers would be asked for again each time."""
+    """A new token often arrives in the mirror before the commit's response.
+
+    If it reset the block's state, the holder would have to probe all of its workers again each time.
+    """
     world = ready_world()
     node = world.leader()
     zone = node.blocks.held_zones()[0]
--- a/tests/test_event_costs.py
+++ b/tests/test_event_costs.py
@@ -1,7 +1,7 @@
-"""What an event costs in messages and in views made, so that it is noticed if it grows again.
+"""Bounds the messages and the rebuilt views that an event costs.
 
-A day of 707 machines once took all its processor time for views that no round
-had written to and no machine's change had made stale.
+A day with 707 machines once spent all its processor time on rebuilding views
+that no round had written to and no change of a machine had made stale.
 """
 
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 def count_messages_and_views(machines: int) -> tuple[Counter, Counter]:
-    """Commands that nodes send, transactions applied and views made, from a job's submission until it is done."""
+    """Count messages by path, applied transactions and views built, from a job's submission until it is done."""
     world = ready_world(machines=machines, capacity=machines)
     world.run(20)
     messages: Counter = Counter()
@@ -43,17 +43,17 @@
 
 
 @pytest.mark.parametrize("machines", [6, 48])
-def test_a_job_of_one_task_costs_the_same_on_any_fleet(machines):
+def test_cost_of_one_task_job_does_not_depend_on_fleet_size(machines):
     messages, views = count_messages_and_views(machines)
-    assert messages["/commands"] == 1, "its start is sent once, directly"
-    # Submission, hand-over, launch, end, and the machine's image; two snapshots of deficits may fall in.
+    assert messages["/commands"] == 1, "the start command is sent once, directly"
+    # Submission, dispatch, start, end and the machine's image, plus up to two snapshots of deficits.
     assert messages["transactions"] <= 7
-    # Each time the leader or a holder looks: what it wrote to itself, and the one machine that changed.
+    # Each round of the leader or a holder rebuilds only the views that it wrote to and that of the changed machine.
     assert views["LeaderScheduler"] <= 6
     assert views["HolderScheduler"] <= 6
 
 
-def test_a_round_without_a_change_makes_no_view():
+def test_unchanged_round_rebuilds_no_view():
     world = ready_world(machines=12)
     world.submit("j-1", tasks=4, run_s=600.0)
     world.run(15)
@@ -69,4 +69,4 @@
     machine.suspect(True)
     machine.become(machine.state, world.clock.now + seconds(1))
     assert [v.suspected for v in leader.leader_scheduler._view_cache.fresh() if v.name == machine.name] == [True]
-    assert made == [machine.name], "only the machine that changed"
+    assert made == [machine.name], "only the view of the changed machine is rebuilt"
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that fail wherever they are put, machines that fail whatever is put on them, and telling the two apart."""
+"""Tests that jobs failing on every machine are told apart from machines failing every task."""
 
 import logging
 
@@ -8,7 +8,7 @@
 
 
 def test_failing_array_is_retried_with_backoff_and_rents_nothing(caplog):
-    """Found in a log: each holder tried a wrong array on its own, and dear machines were rented for it."""
+    """Found in a log: each holder retried a failing array on its own, and expensive machines were rented for it."""
     caplog.set_level(logging.INFO)
     world = ready_world(machines=6, capacity=30)
     world.submit("j-1", 100, wrong=True, crew="blue")
@@ -16,12 +16,12 @@
     first = len(world.starts)
     world.run(120)
     tries = len(world.starts) - first
-    assert 2 <= tries <= 8, "about one after 4, 8, 16, 32 and 60 seconds"
+    assert 2 <= tries <= 8, "about one retry after 4, 8, 16, 32 and 60 seconds"
     assert [r for r in caplog.messages if "faulty" in r] == []
     assert len([r for r in caplog.messages if "no task was ever done" in r]) == 1
     caplog.clear()
     world.run(100)
-    assert [r for r in caplog.messages if "asking for" in r] == [], "no room is rented for it"
+    assert [r for r in caplog.messages if "asking for" in r] == [], "no machines are rented for it"
     assert world.run(300, lambda: not world.running("j-1"))
     assert world.abort("j-1") == 200
     assert world.run(2, lambda: "l/job/j-1" not in world.store.data)
@@ -41,15 +41,15 @@
 
 def test_faulty_machine_is_replaced_without_delaying_jobs():
     world = ready_world(machines=6, capacity=6)
-    sick = next(iter(world.cloud.machines.values()))[0]
-    sick.fails_all_tasks = True
+    faulty = next(iter(world.cloud.machines.values()))[0]
+    faulty.fails_all_tasks = True
     for n in range(6):
         world.submit(f"j-{n}", 6, crew="blue", run_s=4.0, cpus=1.0)
     assert world.run(40, lambda: all(world.poll(f"j-{n}") == "done" for n in range(6)))
-    assert world.run(30, lambda: sick.name not in world.cloud.machines)
+    assert world.run(30, lambda: faulty.name not in world.cloud.machines)
 
 
-def test_evidence_against_a_job_outlives_its_leader_and_its_holders():
+def test_failure_evidence_survives_leader_and_holder_restarts():
     world = ready_world(machines=6, capacity=6)
     world.submit("j-1", 30, wrong=True, crew="blue")
     world.run(40)
@@ -60,7 +60,7 @@
         world.run(5)
     before = len(world.starts)
     world.run(MAX_RETRY_BACKOFF.total_seconds())
-    assert len(world.starts) - before <= 5, "each new leader begins with the shortest pause, at one task a try"
+    assert len(world.starts) - before <= 5, "each new leader starts with the shortest backoff and one task per retry"
 
 
 def test_failing_gang_does_not_block_machines():
@@ -72,7 +72,7 @@
     world.submit("j-2", 12, crew="blue", run_s=3.0)
     assert world.run(15, lambda: world.poll("j-2") == "done")
     world.submit("j-3", 3, run_s=3.0, **gang)
-    assert world.run(15, lambda: world.poll("j-3") == "done"), "an honest one passes it"
+    assert world.run(15, lambda: world.poll("j-3") == "done"), "a gang that does not fail can run"
 
 
 def test_job_that_succeeds_again_is_no_longer_failing():
@@ -88,7 +88,7 @@
 
 
 def test_machine_suspicion_ends_with_failing_job():
-    """Found by reading: a machine stayed shunned after the only job that had failed on it was cancelled."""
+    """Found in review: a machine stayed suspected after the only job that had failed on it was cancelled."""
     world = ready_world(machines=3, capacity=3)
     holder = next(n for n in world.nodes.values() if n.machine_monitor.mine())
     machine = holder.machine_monitor.mine()[0]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Machines that die, are cut off or come back from nowhere; dealings with the cloud."""
+"""Tests of machines that fail, are cut off or reappear, and of rental requests to the cloud."""
 
 import orjson
 from traces import ready_world, worker_of
@@ -17,21 +17,21 @@
     assert world.broken == []
 
 
-def test_report_that_a_cut_held_up_does_not_bring_a_returned_machine_back():
-    """Found by an incident: a cut zone's late reports made machines of it that were gone look up again."""
+def test_delayed_report_does_not_restore_returned_machine():
+    """Found by an incident: delayed reports from a partitioned zone made returned machines appear up again."""
     world = ready_world()
     worker = next(iter(world.cloud.machines.values()))[0]
-    late = orjson.dumps(worker.report())
+    delayed_report = orjson.dumps(worker.report())
     worker.alive = False
     assert world.run(15, lambda: worker.name not in world.cloud.machines)
     world.run(1)
     for node in world.nodes.values():
-        assert node.check_in(late)[0] != 200
+        assert node.check_in(delayed_report)[0] != 200
         assert worker.name not in node.inventory.machines
 
 
-def test_machines_of_a_cut_zone_are_not_returned_one_after_the_other():
-    """Found by an incident: reports stop within some seconds of one another, so the first looked like deaths."""
+def test_machines_of_partitioned_zone_are_not_returned():
+    """Found by an incident: the machines' reports stopped within some seconds, and the first machines looked dead."""
     world = ready_world(machines=15, capacity=15)
     cut = [w for w, _ in world.cloud.machines.values() if w.zone == "b"]
     for n, worker in enumerate(cut):
@@ -46,17 +46,17 @@
 
 
 def test_no_rental_requests_during_store_outage():
-    """Found in a log: a leader asked twice a second for the same machines all through an outage of the store."""
+    """Found in a log: during a store outage a leader requested the same machines twice a second."""
     world = ready_world(machines=2, capacity=2)
     world.cloud.is_down = True
     world.submit("j-1", 40)
     assert world.run(10, lambda: world.store.data.get("l/cloud", ({},))[0].get("rent"))
     world.store.outage(True)
     world.cloud.is_down = False
-    asked = []
-    world.filter = lambda source, target, path: asked.append(path) if path == "/rentals" else None
+    rental_paths = []
+    world.filter = lambda source, target, path: rental_paths.append(path) if path == "/rentals" else None
     world.run(10)
-    assert asked == []
+    assert rental_paths == []
     world.store.outage(False)
     world.run(30)
-    assert asked != []
+    assert rental_paths != []
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""What users are told: accepting, answering, health (points 1, 7 and 8 of docs/design.md)."""
+"""Tests of job acceptance, status responses and node health (points 1, 7 and 8 of docs/design.md)."""
 
 import orjson
 from traces import fault_on_path, ready_world
@@ -6,7 +6,7 @@
 # Accept
 
 
-def test_accept_of_unknown_outcome_is_refused_at_once_and_found_by_the_retry():
+def test_submission_with_unknown_outcome_gets_503_and_retry_finds_the_job():
     world = ready_world()
     world.filter = fault_on_path("/commit answer lost")
     assert world.submit("j-1") == 503
@@ -16,7 +16,7 @@
     assert world.broken == []
 
 
-def test_accept_that_is_applied_late_makes_one_job():
+def test_delayed_submission_creates_only_one_job():
     world = ready_world()
     world.filter = fault_on_path("/commit held")
     assert world.submit("j-1", node="holdfast-1") == 503
@@ -27,7 +27,7 @@
     assert world.broken == []
 
 
-def test_repeat_of_a_known_job_is_never_refused():
+def test_repeated_submission_of_known_job_is_never_refused():
     world = ready_world()
     world.submit("j-1", shape="service", urgency="prod")
     node = world.nodes["holdfast-2"]
@@ -36,10 +36,10 @@
     assert node.intake.submit(orjson.dumps({"ref": "j-2", "crew": 7})).status == 400
 
 
-# Done
+# Status
 
 
-def test_status_is_never_older_than_what_another_node_told():
+def test_status_is_never_older_than_response_of_another_node():
     world = ready_world()
     world.submit("j-1", node="holdfast-0")
     for name in world.nodes:
@@ -58,24 +58,24 @@
     world.store.outage(True)
     intake = world.nodes["holdfast-0"].intake
     assert intake.status("j-1").status == 200
-    answer = intake.status("j-2")
-    assert answer.status == 503
-    assert answer.retry_after is not None
+    response = intake.status("j-2")
+    assert response.status == 503
+    assert response.retry_after is not None
 
 
-def test_status_of_a_job_that_ends_while_its_version_is_compared():
-    """Found by an incident: the record was gone when the answer was put together."""
+def test_status_of_job_that_ends_during_version_comparison():
+    """Found by an incident: the job's record was gone when the response was built."""
     world = ready_world()
     world.submit("j-1", run_s=3.0)
     node = world.nodes["holdfast-1"]
     assert world.run(10, lambda: world.poll("j-1", node="holdfast-1") == "running")
-    compare = node.verifier.versions_current
+    versions_current = node.verifier.versions_current
 
     def end_meanwhile(guards):
-        node.verifier.versions_current = compare
-        equal = compare(guards)
+        node.verifier.versions_current = versions_current
+        current = versions_current(guards)
         world.run(20, lambda: "j-1" not in node.job_index.jobs)
-        return equal
+        return current
 
     node.verifier.versions_current = end_meanwhile
     assert world.poll("j-1", node="holdfast-1") == "done"
@@ -84,7 +84,7 @@
 # Health
 
 
-def test_node_that_alone_lost_the_store_is_unhealthy_and_an_outage_leaves_all_healthy():
+def test_node_is_unhealthy_if_only_it_lost_the_store_but_not_in_outage():
     world = ready_world()
     intake = world.nodes["holdfast-0"].intake
     world.cut_from_store = {"holdfast-0"}
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Launches, gangs, arrays and the leader's notes (point 2 of docs/design.md)."""
+"""Tests of task starts, gangs, arrays and the leader's snapshot (point 2 of docs/design.md)."""
 
 from dataclasses import replace
 
@@ -7,23 +7,23 @@
 from kelpjunction.lab.world import seconds
 from kelpjunction.queue import PreemptionPolicy
 
-# Launch
+# Starts
 
 
-def test_abort_through_another_node_beats_a_launch_that_was_decided():
+def test_abort_through_another_node_prevents_planned_start():
     world = ready_world(machines=0, capacity=0)
     world.submit("j-1", 2)
     worker = world.cloud.add("a", False, world.clock.now)
-    # The abort reaches the store between the leader's last look and its launch.
-    behind = next(n for n in world.nodes.values() if n is not world.leader())
+    # The abort reaches the store after the leader last read its mirror and before it starts the task.
+    other = next(n for n in world.nodes.values() if n is not world.leader())
     world.leader().mirror.watch_once = lambda: None
-    assert behind.intake.abort("j-1").status == 200
+    assert other.intake.abort("j-1").status == 200
     world.run(20)
     assert not worker.tasks
     assert world.running() == []
 
 
-def test_launch_by_a_holder_that_has_not_heard_of_the_abort_fails():
+def test_start_by_holder_unaware_of_abort_fails():
     world = ready_world()
     holder, launch = dispatch_without_start(world, "j-1")
     other = next(n for n in world.nodes.values() if n is not holder)
@@ -31,10 +31,10 @@
     assert not holder.job_index.jobs["j-1"].cancelled, "its mirror lags"
     launch()
     assert world.starts == []
-    assert holder.job_index.jobs["j-1"].cancelled, "the conflict told it"
+    assert holder.job_index.jobs["j-1"].cancelled, "the holder learned of the abort from the conflict"
 
 
-def test_launch_by_a_holder_that_was_superseded_fails():
+def test_start_by_superseded_holder_fails():
     world = ready_world()
     holder, launch = dispatch_without_start(world, "j-1")
     zone = next(holder.job_index.jobs["j-1"].unstarted_dispatches())[1].zone
@@ -46,7 +46,7 @@
     assert world.starts == []
 
 
-def test_launch_that_is_applied_late_fails_once_it_was_fenced():
+def test_delayed_start_fails_after_fencing():
     world = ready_world()
     holder, launch = dispatch_without_start(world, "j-1")
     world.filter = fault_on_path("/commit held")
@@ -58,30 +58,30 @@
     assert world.store.data["l/run/j-1/0"][0]["p"] == []
 
 
-def test_launch_of_unknown_outcome_is_fenced_before_anything_else_starts():
+def test_start_with_unknown_outcome_is_fenced_before_other_starts():
     world = ready_world()
-    held = []
+    held_requests = []
 
-    def hold_launch(source, target, path):
-        if path == "/commit" and world.jobs and not held and source == leader:
-            held.append(path)
+    def hold_first_commit(source, target, path):
+        if path == "/commit" and world.jobs and not held_requests and source == leader:
+            held_requests.append(path)
             return "held"
         return None
 
     leader = world.leader().platform.node
     other = next(n for n in world.nodes if n != leader)
-    world.filter = hold_launch
+    world.filter = hold_first_commit
     assert world.submit("j-1", 12, node=other) == 201
     assert world.run(90, lambda: world.poll("j-1") == "done")
     world.run(30)
-    assert held
+    assert held_requests
     assert world.broken == []
 
 
 # Gangs and arrays
 
 
-def test_gang_starts_whole_and_is_restarted_whole_when_a_machine_dies():
+def test_all_tasks_of_gang_start_and_restart_after_machine_loss():
     world = ready_world()
     world.submit("j-1", 4, shape="ensemble", run_s=20.0, cpus=6.0, mark_s=5.0, stow_s=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 4)
@@ -92,7 +92,7 @@
     assert world.broken == []
 
 
-def test_gang_that_spans_blocks_starts_whole():
+def test_all_tasks_of_gang_across_blocks_start():
     world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 3, shape="ensemble", cpus=8.0, crew="blue", run_s=5.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
@@ -100,7 +100,7 @@
     assert world.broken == []
 
 
-def test_large_array_is_folded_and_ends_within_the_stores_limits():
+def test_large_array_is_folded_and_finishes_within_store_limits():
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 300, run_s=0.1, cpus=0.5, ram_gb=0.5, crew="blue")
     assert world.run(120, lambda: world.poll("j-1") == "done")
@@ -110,12 +110,14 @@
 
 
 def test_work_without_objective_loses_price_limit_after_waiting():
-    """An accepted job must run, also where there is no cheap room at all."""
+    """An accepted job must run even if no cheap machine has room."""
     world = ready_world(machines=0, capacity=0)
     world.submit("j-1")
     world.run(1)
     fleet, job = world.leader().fleet, world.leader().job_index.jobs["j-1"]
-    assert not fleet.price_limit(job).exclude_expensive, "without objectives every class counts"
+    assert not fleet.price_limit(job).exclude_expensive, (
+        "if no class has an objective, no job is kept off expensive machines"
+    )
     fleet._preemption_policy = PreemptionPolicy(fleet._platform.teams, frozenset({"portal"}))
     assert fleet.price_limit(job).exclude_expensive
     world.clock.now += seconds(301)
@@ -125,14 +127,14 @@
 # The snapshot
 
 
-def test_deficits_of_more_jobs_than_one_transaction_holds_outlive_their_leader():
-    """Found by reading for size: what was over the limit used to be left out."""
+def test_deficits_beyond_one_transaction_survive_leader_loss():
+    """Found in a review of record sizes: deficits beyond the transaction limit used to be left out."""
     world = ready_world(machines=0, capacity=0)
     for n in range(200):
         world.submit(f"j-{n}")
     leader = world.leader()
     assert world.run(5, lambda: len(leader.job_index.jobs) == 200)
-    leader.store.limits = replace(leader.store.limits, value_bytes=640)  # ten jobs to a key, twelve keys at once
+    leader.store.limits = replace(leader.store.limits, value_bytes=640)  # ten jobs per key, twelve keys per transaction
     for job in leader.job_index.jobs.values():
         job.task_time_received = seconds(7)
     assert world.run(15, lambda: len([k for k in world.store.data if k.startswith("s/")]) == 20)
--- a/tests/test_large_jobs.py
+++ b/tests/test_large_jobs.py
@@ -1,4 +1,4 @@
-"""The largest jobs begin within four minutes of their submission wherever room for them exists."""
+"""The largest jobs must start within four minutes of their submission if the machines have room for them."""
 
 from collections.abc import Callable
 
@@ -11,17 +11,20 @@
 
 
 def run_with_small_jobs(world, length: float, when: dict[float, Callable[[], None]] | None = None, **fields) -> None:
-    """Let time pass while a small array comes every other second, more than the machines carry."""
+    """Run for `length` seconds and submit a small array every other second, more than the machines can run.
+
+    `when` maps seconds to actions; an action runs after the submission at that time.
+    """
     for number in range(int(length / 2)):
         ref = f"j-9{len(world.jobs):04d}"
         world.submit(ref, 4, **({"run_s": 8.0, "cpus": 2.0, "stripe": "small"} | fields))
-        if act := (when or {}).get(2 * number):
-            act()
+        if action := (when or {}).get(2 * number):
+            action()
         world.run(2)
 
 
 def late_large_jobs(world) -> list[str]:
-    """Large jobs that began too late, or not yet though it is too late."""
+    """Return the large jobs that started too late, or that have not started although their time is over."""
     return [
         ref
         for row in world.service_level_tracker.service_levels(world.clock.now)
@@ -32,7 +35,7 @@
 
 @pytest.mark.parametrize("team", ["red", "blue"])
 def test_large_gang_starts_in_time_beside_many_small_jobs(team):
-    """Of red's limit of 40 CPUs the small jobs took each gap as it opened: 32 at once never came together."""
+    """Small jobs took free CPUs under red's limit of 40 as they appeared, so 32 were never free at once."""
     world = ready_world(machines=9, capacity=9)
     run_with_small_jobs(world, 20, crew=team)
     world.submit("j-1", 8, cpus=4.0, crew=team, **GANG)
@@ -42,7 +45,7 @@
 
 
 def test_large_array_starts_fully_beside_small_arrays():
-    """What it receives counts against it: its last tasks stood behind each array that came."""
+    """Task time that a job receives lowers its rank, so the array's last tasks waited behind each new small array."""
     world = ready_world(machines=3, capacity=3)
     run_with_small_jobs(world, 20)
     world.submit("j-1", 60, cpus=2.0, crew="blue", run_s=20.0, urgency="low", stripe="large")
--- a/tests/test_production_compatibility.py
+++ b/tests/test_production_compatibility.py
@@ -1,6 +1,7 @@
-"""The version in production, from this repository's history and in a process of its own, reads what this one writes.
+"""Tests that this version and the version in production read each other's records alike.
 
-Both serve side by side while a change lands, so each must take the other's records for what they mean.
+Both versions run side by side during a rollout. The production version is taken
+from this repository's history and runs in a process of its own.
 """
 
 import io
@@ -18,8 +19,8 @@
 from kelpjunction.jobs.job_index import DISPATCH_PREFIX, ChunkDispatch, DispatchTarget
 
 ROOT = Path(__file__).resolve().parent.parent
-# What the scripts below name, as production spells it.
-IN_PRODUCTION = {
+# Names used by the scripts below, and how the production version spells them.
+PRODUCTION_NAMES = {
     "jobs.job_index": "jobs.book",
     "JobIndex": "Book",
     "unstarted_dispatches": "pending",
@@ -27,22 +28,22 @@
     "ChangeTracker": "Changes",
     "ready_world": "served",
 }
-READ = """
+READ_SCRIPT = """
 import json, sys
 from kelpjunction.changes import ChangeTracker
 from kelpjunction.jobs.job_index import JobIndex
 def plain(pending):
-    # Without the name of its class, which differs by version; with the names of its fields.
+    # Leaves out the class name, which differs between the versions, and keeps the field names.
     task, where = pending
     return [repr(task), repr(where._asdict())]
-book = JobIndex(ChangeTracker())
+job_index = JobIndex(ChangeTracker())
 data = json.load(sys.stdin)
 for key in sorted(data):
-    book.changed(key, *data[key])
+    job_index.changed(key, *data[key])
 print(json.dumps({r: [list(j.counts), j.cancelled, repr(j.spec), sorted(plain(p) for p in j.unstarted_dispatches())]
-                  for r, j in book.jobs.items()}))
+                  for r, j in job_index.jobs.items()}))
 """
-START = """
+START_SCRIPT = """
 import json, sys
 sys.path.insert(0, "tests")
 from traces import ready_world
@@ -56,7 +57,7 @@
 world.run(5)
 print(json.dumps([world.starts, [m for _, m in world.running()], world.broken]))
 """
-PLAY = """
+PLAY_SCRIPT = """
 import json, sys
 sys.path.insert(0, "tests")
 from traces import ready_world
@@ -73,31 +74,35 @@
 world.abort("j-5")
 print(json.dumps({k: v[:2] for k, v in world.store.data.items() if k.startswith("l/")}))
 """
-# At this time after its submission, j-1 of PLAY has dispatched tasks that have not started, in both versions.
+# At this time after its submission, j-1 of PLAY_SCRIPT has dispatched tasks that have not started, in both versions.
 # At 1, 6 and 11 s no job has any, so the comparison would not detect that they are read differently.
 UNSTARTED_DISPATCHES_AT_S = 0.2
 
 
 @pytest.fixture(scope="module")
 def production(tmp_path_factory) -> Path:
-    """A checkout of the commit that `deploy/service.toml` names; fails plainly where the history lacks it."""
+    """A checkout of the commit that `deploy/service.toml` names. Fails with a message if the history lacks it."""
     commit = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"]
-    found = subprocess.run(["git", "-C", str(ROOT), "archive", commit, "kelpjunction", "tests"], capture_output=True)
-    assert found.returncode == 0, f"production {commit} is not in this clone's history: {found.stderr.decode()}"
-    folder = tmp_path_factory.mktemp("production")
-    with tarfile.open(fileobj=io.BytesIO(found.stdout)) as archive:
-        archive.extractall(folder, filter="data")
-    return folder
+    git_archive = subprocess.run(
+        ["git", "-C", str(ROOT), "archive", commit, "kelpjunction", "tests"], capture_output=True
+    )
+    assert git_archive.returncode == 0, (
+        f"production {commit} is not in this clone's history: {git_archive.stderr.decode()}"
+    )
+    directory = tmp_path_factory.mktemp("production")
+    with tarfile.open(fileobj=io.BytesIO(git_archive.stdout)) as archive:
+        archive.extractall(directory, filter="data")
+    return directory
 
 
-def run_in_version(version: Path, script: str, given) -> object:
-    """What a script prints in the version of this checkout, given this on its standard input."""
+def run_in_version(version: Path, script: str, stdin_data) -> object:
+    """Run a script with the code of a checkout and return the JSON that it prints; `stdin_data` is its input."""
     if version != ROOT:
-        for ours, theirs in IN_PRODUCTION.items():
+        for ours, theirs in PRODUCTION_NAMES.items():
             script = script.replace(ours, theirs)
     done = subprocess.run(
         [sys.executable, "-c", script],
-        input=json.dumps(given),
+        input=json.dumps(stdin_data),
         capture_output=True,
         text=True,
         cwd=version,
@@ -108,32 +113,34 @@
 
 
 def read_in_this_version(data: dict) -> dict:
-    """What this version makes of records."""
-    return run_in_version(ROOT, READ, data)
+    """Return the jobs that this version reads from records."""
+    return run_in_version(ROOT, READ_SCRIPT, data)
 
 
-def test_the_checkout_is_the_version_in_production_and_not_this_one(production):
-    where = run_in_version(production, "import json, kelpjunction; print(json.dumps(kelpjunction.__file__))", None)
-    assert Path(where).is_relative_to(production)
+def test_checkout_runs_the_production_code(production):
+    module_path = run_in_version(
+        production, "import json, kelpjunction; print(json.dumps(kelpjunction.__file__))", None
+    )
+    assert Path(module_path).is_relative_to(production)
 
 
 @pytest.mark.parametrize("after", [UNSTARTED_DISPATCHES_AT_S, 1.0, 6.0, 11.0])
 @pytest.mark.parametrize("writer", ["this version", "production"])
-def test_records_mean_the_same_to_both(production, writer, after):
-    data = run_in_version(ROOT if writer == "this version" else production, PLAY, after)
+def test_records_are_read_alike_by_both_versions(production, writer, after):
+    data = run_in_version(ROOT if writer == "this version" else production, PLAY_SCRIPT, after)
     ours = read_in_this_version(data)
     assert len(ours) > 3 and any(counts[1] for counts, *_ in ours.values()) and ours["j-5"][1]
     if after == UNSTARTED_DISPATCHES_AT_S:
         assert any(unstarted for *_, unstarted in ours.values()), "no job has a dispatched task that has not started"
-    assert run_in_version(production, READ, data) == ours
+    assert run_in_version(production, READ_SCRIPT, data) == ours
 
 
-def test_a_job_that_production_took_without_fields_that_are_asked_for_now_goes_on(production):
+def test_job_accepted_by_production_without_fields_required_now_still_runs(production):
     world = ready_world()
     spec = {"ref": "j-1", "stripe": "c", "crew": "red", "shape": "batch", "urgency": "low", "fronds": 2, "cpus": 1.0}
     record = {"spec": spec | {"ram_gb": 1.0, "bundle": "i", "image_gb": 1.0}, "at": world.clock.utc().timestamp()}
     assert (
-        run_in_version(production, READ, {"l/job/j-1": [record, 5]})["j-1"][2]
+        run_in_version(production, READ_SCRIPT, {"l/job/j-1": [record, 5]})["j-1"][2]
         == read_in_this_version({"l/job/j-1": [record, 5]})["j-1"][2]
     )
     assert world.leader().store.commit({"l/job/j-1": 0, "e/j-1": 0}, {"l/job/j-1": record}).revision
@@ -144,12 +151,12 @@
 
 
 @pytest.mark.parametrize("shape", ["batch", "service", "ensemble"])
-def test_a_task_with_a_named_machine_starts_in_production_too(production, shape):
-    """This version names machines for single tasks beside reserved room; production did so for gangs alone."""
+def test_dispatch_with_target_machine_starts_in_production(production, shape):
+    """This version also dispatches single tasks to a named machine next to reserved capacity, production only gangs."""
     attempt = 1 if shape == "ensemble" else None
     fields = {"fronds": 1, "shape": shape, "run_s": 60.0}
     fields |= {"mark_s": 5.0, "stow_s": 1.0} if shape == "ensemble" else {}
     row = ChunkDispatch(0, {0: DispatchTarget("a", "n-000001", attempt)}).row()
     page = {f"{DISPATCH_PREFIX}{'gang' if shape == 'ensemble' else 'array'}/0": {"j-1": {"0": row}}}
-    starts, machines, broken = run_in_version(production, START, [fields, page])
+    starts, machines, broken = run_in_version(production, START_SCRIPT, [fields, page])
     assert (starts, len(machines), broken) == (["j-1/0"], 1, [])
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""The last decisions of a node: what is kept, what the log shows, and what is written out when something can't be."""
+"""Tests of the recorder of a node's last decisions: kept events, log lines, and dumps after a contradiction."""
 
 import logging
 import signal
@@ -36,12 +36,12 @@
     assert start.version > 0
     assert (end.task, end.attempt, end.machine, end.cause) == (TASK, 1, start.machine, ExitCause.DONE)
     assert end.ground is Ground.REPORTED_EXIT and end.sequence > start.sequence
-    said = Metrics(holder).text().decode()
-    assert 'kelpjunction_starts_said_total{way="direct"} 1.0' in said
-    assert 'kelpjunction_settled_by_total{ground="reported_exit"} 1.0' in said
+    metrics_text = Metrics(holder).text().decode()
+    assert 'kelpjunction_starts_said_total{way="direct"} 1.0' in metrics_text
+    assert 'kelpjunction_settled_by_total{ground="reported_exit"} 1.0' in metrics_text
 
 
-def test_a_session_that_ends_is_in_the_log_and_settles_by_that_ground(caplog):
+def test_session_change_is_logged_and_is_the_ground_of_settling(caplog):
     caplog.set_level(logging.INFO)
     world = ready_world()
     worker = worker_with_lost_start(world, "a")
@@ -56,7 +56,7 @@
 
 
 def test_contradiction_is_logged_with_preceding_decisions(caplog):
-    """An attempt that was settled is proved to run: what was decided of it is in the log, whatever its level."""
+    """A settled attempt is proved to run. The decisions about it must be in the log at every log level."""
     caplog.set_level(logging.ERROR)
     world = ready_world()
     world.submit("j-1", run_s=60.0)
@@ -71,40 +71,40 @@
     holder.worker_registry.probe(worker.name, worker.address)
     (finding,) = events_of_kind(holder, Impossible)
     assert (finding.task, finding.machine, finding.finding) == (TASK, worker.name, "it was settled before")
-    written = "\n".join(caplog.messages)
-    assert "StartSaid task=j-1/0 attempt=1" in written
-    assert "Settled" in written and "ground=not_listed" in written
+    logged = "\n".join(caplog.messages)
+    assert "StartSaid task=j-1/0 attempt=1" in logged
+    assert "Settled" in logged and "ground=not_listed" in logged
 
 
 @pytest.mark.parametrize(("attempt", "found"), [(1, True), (3, False)])
 def test_only_earlier_attempt_beside_reported_one_is_contradiction(attempt, found):
-    """A node that is cut off from the state service learns of later attempts from workers first."""
+    """A node cut off from the state service learns of later attempts from workers first, so they prove no error."""
     world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant(worker_of(world, "j-1/0").zone))
     placement = holder.job_index.placement(TASK)
     placement.attempt, placement.was_reported = 2, True
-    told = TaskReport(TASK, attempt, TaskState.RUNNING, None, False)
-    report = Report("n-9", "10.1.0.9:9000", "box", "a", False, 1, 1, 0, None, (told,))
-    holder.worker_registry.decisions.check_possible(report, told)
+    task_report = TaskReport(TASK, attempt, TaskState.RUNNING, None, False)
+    report = Report("n-9", "10.1.0.9:9000", "box", "a", False, 1, 1, 0, None, (task_report,))
+    holder.worker_registry.decisions.check_possible(report, task_report)
     assert [f.finding for f in events_of_kind(holder, Impossible)] == ([f"attempt 2 is on {placement.machine}"] * found)
 
 
-def test_many_findings_at_once_are_written_out_once(caplog):
+def test_many_contradictions_at_once_cause_one_dump(caplog):
     clock = SimClock()
     recorder = Recorder(clock, capacity=3)
     finding = Impossible(TASK, 1, "n-1", 2, "it was settled before")
     for _ in range(5):
         recorder.contradiction(finding, lambda event: True)
     assert len([m for m in caplog.messages if "decisions follow" in m]) == 1
-    assert len(list(recorder.events())) == 3, "the oldest go"
+    assert len(list(recorder.events())) == 3, "the oldest events are dropped"
     clock.now += DUMPS_APART + seconds(0.1)
     recorder.contradiction(finding, lambda event: True)
     assert len([m for m in caplog.messages if "decisions follow" in m]) == 2
 
 
-def test_an_event_is_a_field_of_a_json_line():
+def test_event_is_a_field_of_json_log_line():
     record = logging.LogRecord("recorder", logging.INFO, "", 0, "%s", (CHANGED,), None)
     record.event = CHANGED.as_fields()
     fields = orjson.loads(logs.json_formatter("holdfast-0", lambda: 4).format(record))
@@ -115,7 +115,7 @@
     assert fields["machine"] == "n-1"
 
 
-def test_the_ring_is_written_out_on_a_signal(caplog):
+def test_recorded_events_are_dumped_on_signal(caplog):
     recorder = Recorder(SimClock())
     recorder.record(CHANGED)
     before = signal.getsignal(signal.SIGUSR1)
--- a/tests/test_report_responses.py
+++ b/tests/test_report_responses.py
@@ -1,4 +1,4 @@
-"""What a report is worth and what is said in answer: the table of docs/incidents/task-on-two-machines.md."""
+"""Tests of what a report proves and of its response, after the table in docs/incidents/task-on-two-machines.md."""
 
 from collections import Counter
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("entitlement", "refusal"),
+    ("authority", "refusal"),
     [
         (BlockAuthority(5, False, True), None),
         (BlockAuthority(None, False, True), Refusal.NOT_HELD),
@@ -44,12 +44,12 @@
         (BlockAuthority(5, False, False), Refusal.STORE_NEWS_STALE),
     ],
 )
-def test_who_may_answer(entitlement, refusal):
-    assert refuse_block(entitlement) is refusal
+def test_refuse_block_by_authority(authority, refusal):
+    assert refuse_block(authority) is refusal
 
 
 @pytest.mark.parametrize(
-    ("known", "refusal"),
+    ("status", "refusal"),
     [
         (WorkerStatus(2, False, True), None),
         (WorkerStatus(2, True, True), Refusal.UNREACHED),
@@ -58,63 +58,67 @@
         (WorkerStatus(1, False, True), Refusal.UNPROVED_SESSION),
     ],
 )
-def test_which_report_gets_a_200(known, refusal):
-    assert refuse_report(report(session=2), known) is refusal
+def test_refuse_report_by_worker_status(status, refusal):
+    assert refuse_report(report(session=2), status) is refusal
 
 
 @pytest.mark.parametrize(
-    ("stands", "reported", "verbs"),
+    ("existing", "reported", "verbs"),
     [
         (placement(), None, [Verb.START]),
-        (placement(session=1), None, []),  # written for the session before
-        (placement(session=3), None, []),  # written for one that its worker's life has not come to
-        (placement(seen=True), None, []),  # it was there: what is missing may have ended
+        (placement(session=1), None, []),  # written for the previous session
+        (placement(session=3), None, []),  # written for a session that the worker has not reached
+        (placement(seen=True), None, []),  # was reported before, so it may have ended if it is not listed
         (placement(phase=Phase.STOPPING), None, []),
         (placement(), TaskState.RUNNING, []),
         (placement(attempt=4), TaskState.RUNNING, [Verb.STOP, Verb.START]),
         (placement(session=1), TaskState.RUNNING, [Verb.STOP]),
         (None, TaskState.FETCHING, [Verb.STOP]),
         (placement(phase=Phase.STOPPING), TaskState.RUNNING, [Verb.STOP]),
-        (placement(seen=True), TaskState.EXITED, []),  # its end is not written down yet
+        (placement(seen=True), TaskState.EXITED, []),  # its exit has not been recorded yet
         (None, TaskState.EXITED, [Verb.FORGET]),
     ],
 )
-def test_build_response_commands(stands, reported, verbs):
-    here = {} if stands is None else {TASK: stands}
+def test_build_response_commands(existing, reported, verbs):
+    placements = {} if existing is None else {TASK: existing}
     tasks = [] if reported is None else [task_report(reported)]
-    said = build_response(2, tasks, here, Counter(), no_start_in_flight=True)
-    assert [command.verb for command in said.commands] == verbs
-    assert said.starts == ([stands] if Verb.START in verbs else [])
-    graces = [command.grace for command in said.commands if command.verb is Verb.STOP]
+    response = build_response(2, tasks, placements, Counter(), no_start_in_flight=True)
+    assert [command.verb for command in response.commands] == verbs
+    assert response.starts == ([existing] if Verb.START in verbs else [])
+    graces = [command.grace for command in response.commands if command.verb is Verb.STOP]
     assert graces in ([], [ZERO], [seconds(4)])
 
 
-@pytest.mark.parametrize(("sending", "no_start_under_way"), [(Counter({(TASK, 3): 1}), True), (Counter(), False)])
-def test_no_forget_command_while_start_may_arrive(sending, no_start_under_way):
-    assert build_response(2, [task_report(TaskState.EXITED)], {}, sending, no_start_under_way).commands == []
+@pytest.mark.parametrize(
+    ("unanswered_commands", "no_start_in_flight"), [(Counter({(TASK, 3): 1}), True), (Counter(), False)]
+)
+def test_no_forget_command_while_start_may_arrive(unanswered_commands, no_start_in_flight):
+    assert (
+        build_response(2, [task_report(TaskState.EXITED)], {}, unanswered_commands, no_start_in_flight).commands == []
+    )
 
 
 @pytest.mark.parametrize(
-    ("evidence", "known_session", "stands", "field"),
+    ("evidence", "known_session", "existing", "field"),
     [
         (Evidence.PROOF, 2, placement(), "missing"),
         (Evidence.PROOF, 1, placement(session=1), "ended"),
         (Evidence.PROOF, 2, placement(session=3), "from_later_session"),
-        (Evidence.CLAIM, 2, placement(seen=True), None),  # what a claim lacks settles nothing
+        (Evidence.CLAIM, 2, placement(seen=True), None),  # a placement that a claim does not list is not settled
     ],
 )
-def test_assess_report_of_unlisted_placement(evidence, known_session, stands, field):
-    reading = assess_report(report(), evidence, known_session, {TASK: stands})
-    assert reading.believed
-    assert reading.needs_probe is (evidence is Evidence.CLAIM)
+def test_assess_report_of_unlisted_placement(evidence, known_session, existing, field):
+    assessment = assess_report(report(), evidence, known_session, {TASK: existing})
+    assert assessment.believed
+    assert assessment.needs_probe is (evidence is Evidence.CLAIM)
     for name in ("ended", "from_later_session", "missing"):
-        assert getattr(reading, name) == ([stands] if name == field else [])
+        assert getattr(assessment, name) == ([existing] if name == field else [])
 
 
 @pytest.mark.parametrize(
-    ("stands", "ask"),
+    ("existing", "needs_probe"),
     [
-        (placement(), False),  # its start is under way
+        (placement(), False),  # its start is in flight
         (placement(seen=True), True),
         (placement(phase=Phase.STOPPING), True),
         (placement(session=1), True),
@@ -122,32 +126,34 @@
     ],
 )
 @pytest.mark.parametrize("evidence", [Evidence.CLAIM, Evidence.SUCCESSOR])
-def test_unlisted_placement_needs_probe(evidence, stands, ask):
-    assert assess_report(report(), evidence, 2, {TASK: stands}).needs_probe is ask
+def test_unlisted_placement_needs_probe(evidence, existing, needs_probe):
+    assert assess_report(report(), evidence, 2, {TASK: existing}).needs_probe is needs_probe
 
 
 @pytest.mark.parametrize(
-    ("evidence", "ends"), [(Evidence.CLAIM, False), (Evidence.SUCCESSOR, True), (Evidence.PROOF, True)]
+    ("evidence", "exit_applies"), [(Evidence.CLAIM, False), (Evidence.SUCCESSOR, True), (Evidence.PROOF, True)]
 )
-def test_unproved_exit_needs_probe(evidence, ends):
-    reading = assess_report(report(tasks=(task_report(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)})
-    assert (len(reading.listed), reading.needs_probe) == ((1, False) if ends else (0, True))
-    assert reading.missing == []
+def test_unproved_exit_needs_probe(evidence, exit_applies):
+    assessment = assess_report(
+        report(tasks=(task_report(TaskState.EXITED),)), evidence, 2, {TASK: placement(seen=True)}
+    )
+    assert (len(assessment.listed), assessment.needs_probe) == ((1, False) if exit_applies else (0, True))
+    assert assessment.missing == []
 
 
 @pytest.mark.parametrize(
-    ("evidence", "known_session", "believed", "ask"),
+    ("evidence", "known_session", "believed", "needs_probe"),
     [
         (Evidence.STALE, 2, False, False),
-        (Evidence.CLAIM, 1, False, True),  # of another session: asked about first
-        (Evidence.CLAIM, 0, True, False),  # the first that is heard of a worker
+        (Evidence.CLAIM, 1, False, True),  # from another session: probed first
+        (Evidence.CLAIM, 0, True, False),  # the first message of a worker
         (Evidence.CLAIM, 2, True, False),
         (Evidence.PROOF, 1, True, False),
     ],
 )
-def test_report_is_believed_by_evidence_and_session(evidence, known_session, believed, ask):
-    reading = assess_report(
+def test_report_is_believed_by_evidence_and_session(evidence, known_session, believed, needs_probe):
+    assessment = assess_report(
         report(tasks=(task_report(TaskState.RUNNING),)), evidence, known_session, {TASK: placement()}
     )
-    assert (reading.believed, reading.needs_probe) == (believed, ask)
-    assert [p.attempt for p, _ in reading.listed] == ([3] if believed else [])
+    assert (assessment.believed, assessment.needs_probe) == (believed, needs_probe)
+    assert [p.attempt for p, _ in assessment.listed] == ([3] if believed else [])
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""Schedules and traces mean something only if the checker notices a breach of each rule of PROTOCOL."""
+"""Tests that the rule checker detects a breach of each rule of PROTOCOL. Fault schedules and scenarios rely on it."""
 
 import pytest
 from traces import ready_world, worker_of
@@ -19,10 +19,10 @@
 
 
 def force_start(world: World, ref: str, index: int, zone: str = "", attempt: int = 9) -> None:
-    """Start a task where its node did not choose to."""
-    on = {m for f, m in world.running() if f == f"{ref}/{index}"}
-    there = [w for w, _ in world.cloud.machines.values() if w.name not in on and zone in ("", w.zone)]
-    there[0].execute([{"verb": "run", "frond": f"{ref}/{index}", "launch": attempt}])
+    """Start a task on a machine that no node chose for it."""
+    current = {m for f, m in world.running() if f == f"{ref}/{index}"}
+    workers = [w for w, _ in world.cloud.machines.values() if w.name not in current and zone in ("", w.zone)]
+    workers[0].execute([{"verb": "run", "frond": f"{ref}/{index}", "launch": attempt}])
 
 
 def test_ran_twice():
@@ -32,7 +32,7 @@
 
 
 def test_quota():
-    world = world_with_running_job(tasks=40)  # all that its team may have
+    world = world_with_running_job(tasks=40)  # the limit of its team
     world.submit("j-2", cpus=1.0)
     force_start(world, "j-2", 0)
     assert broken_rules(world) == {"quota"}
--- a/tests/test_teams_without_guarantee.py
+++ b/tests/test_teams_without_guarantee.py
@@ -1,4 +1,4 @@
-"""Guests, whose team is guaranteed nothing: they use what others leave and give it back."""
+"""Tests of teams without a guarantee: they use the capacity that others leave and give it back."""
 
 from traces import ready_world
 
@@ -10,23 +10,23 @@
 
 
 def test_jobs_without_guarantee_share_one_weight():
-    claims = {"guest": [JobDemand(f"j-{n}", 0.5, 0.0) for n in range(50)], "red": [JobDemand("j-a", 2, 0)]}
-    waiting = {team: [c.ref for c in theirs] for team, theirs in claims.items()}
-    kept = weight_factors(waiting, claims, {"guest": GUEST, "red": Team("red", 16.0, 0.0, None, None)})
-    assert kept["j-0"] == 1 / 50
-    assert kept["j-a"] == 1.0
+    demands = {"guest": [JobDemand(f"j-{n}", 0.5, 0.0) for n in range(50)], "red": [JobDemand("j-a", 2, 0)]}
+    waiting = {team: [d.ref for d in team_demands] for team, team_demands in demands.items()}
+    factors = weight_factors(waiting, demands, {"guest": GUEST, "red": Team("red", 16.0, 0.0, None, None)})
+    assert factors["j-0"] == 1 / 50
+    assert factors["j-a"] == 1.0
 
 
 def test_array_of_tiny_tasks_does_not_block_larger_tasks():
-    """Found on a day: gaps were filled with tasks of a quarter CPU as they opened, and others waited for minutes."""
+    """Found in a day's run: tasks of a quarter CPU took room as it became free, and larger tasks waited for minutes."""
     world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 4000, run_s=3.0, **TINY)
     world.run(6)
-    assert len(world.running("j-1")) > 40, "it has what nobody else wants"
+    assert len(world.running("j-1")) > 40, "the array uses the capacity that no other job needs"
     world.submit("j-2", 3, crew="blue", cpus=8.0, run_s=4.0)
     assert world.run(12, lambda: world.poll("j-2") == "done")
     world.run(8)
-    assert len(world.running("j-1")) > 40, "and has it back"
+    assert len(world.running("j-1")) > 40, "the array uses that capacity again"
     assert world.broken == []
 
 
