--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -1,4 +1,4 @@
-"""Meetings of limits, cancellations, hanging machines and changes of leader; each asserts that the two did meet."""
+"""Concurrent faults: team limits, cancellations, hung machines and leader changes; each test checks the overlap."""
 
 import pytest
 from traces import ready_world, worker_of, zone_of
@@ -9,13 +9,13 @@
 from kelpjunction.lab.world import STORE, NetworkConditions, World
 from kelpjunction.settings import Team
 
-LIMITED = (Team("red", 8.0, 0.0, 12.0, None), Team("blue", 8.0, 0.0, 12.0, None))
-GANG = {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}
-KINDS = {"batch": {"shape": "batch"}, "service": {"shape": "service"}, "ensemble": GANG}
+LIMITED_TEAMS = (Team("red", 8.0, 0.0, 12.0, None), Team("blue", 8.0, 0.0, 12.0, None))
+GANG_FIELDS = {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}
+FIELDS_BY_SHAPE = {"batch": {"shape": "batch"}, "service": {"shape": "service"}, "ensemble": GANG_FIELDS}
 
 
 def change_leader(world: World, away: float = 8.0) -> str:
-    """End the leader, and wait until another leads; returns who ended."""
+    """Kill the leader and wait until another node leads; returns the name of the killed node."""
     old = world.leader_name()
     world.kill_node(old)
     world.run_after(away, lambda: world.runs(old) or world.start_node(old))
@@ -24,7 +24,7 @@
 
 
 def disable_machine_returns(world: World) -> None:
-    """Let no silent machine be returned: what is on it ends by its lease alone."""
+    """Prevent the return of silent machines, so that a task on one ends only with its lease."""
     for node in world.nodes.values():
         node.machine_monitor._looks_partitioned = lambda zone: True
 
@@ -43,10 +43,10 @@
 
 @pytest.mark.parametrize("how", ["cut", "hang", "deaf", "mute"])
 @pytest.mark.parametrize("shape", ["batch", "service", "ensemble"])
-def test_all_teams_at_their_limits_while_jobs_on_lost_machines_are_cancelled_and_the_leader_changes(how, shape):
-    """The room of what may still run is given to nobody, and to somebody as soon as it surely does not."""
-    world = ready_world(machines=9, capacity=12, teams=LIMITED)
-    fields = KINDS[shape]
+def test_cancelled_jobs_on_lost_machines_count_against_limit_until_gone(how, shape):
+    """The capacity of a task that may still run is not reused; it is reused once the task is known to have ended."""
+    world = ready_world(machines=9, capacity=12, teams=LIMITED_TEAMS)
+    fields = FIELDS_BY_SHAPE[shape]
     for team in ("red", "blue"):
         world.submit(f"j-1{team == 'red':d}", 3, run_s=400.0, crew=team, **fields)
     assert world.run(20, lambda: used_cpus(world, "red") == used_cpus(world, "blue") == 6.0)
@@ -66,11 +66,13 @@
     assert [world.abort(f"j-1{t}") for t in "01"] == [200, 200]
     world.kill_node(old := world.leader_name())
     assert world.run(15, lambda: world.leader() is not None)
-    still = {f for f, _ in world.running("j-1")}
-    assert still or how == "mute", "a new leader begins while cancelled tasks are there"
+    remaining = {f for f, _ in world.running("j-1")}
+    assert remaining or how == "mute", "no cancelled task was running when the new leader began"
     world.start_node(old)
     limit = (world.times.lease + seconds(30)).total_seconds()
-    assert world.run(limit, lambda: world.poll("j-30") == world.poll("j-31") == "done"), "their room was kept for long"
+    assert world.run(limit, lambda: world.poll("j-30") == world.poll("j-31") == "done"), (
+        "the capacity of the cancelled tasks was not released in time"
+    )
     assert max(used_cpus(world, "red"), used_cpus(world, "blue")) <= 12.0
     for worker in workers(world):
         worker.partitioned, worker.message_loss = False, None
@@ -80,9 +82,9 @@
 
 
 @pytest.mark.parametrize("twice", [False, True])
-def test_a_team_at_its_limit_whose_machines_can_not_be_asked_when_the_leader_changes(twice):
-    """A cancellation falls into the spell, and what its room is for waits until the machines are known again."""
-    world = ready_world(machines=6, capacity=6, teams=LIMITED)
+def test_team_limit_holds_while_machines_are_unreachable_at_leader_change(twice):
+    """A job is cancelled while its machines are unreachable; the waiting job starts only once they are reachable."""
+    world = ready_world(machines=6, capacity=6, teams=LIMITED_TEAMS)
     world.submit("j-1", 6, run_s=400.0)
     world.submit("j-2", 3, run_s=5.0)
     assert world.run(15, lambda: used_cpus(world, "red") == 12.0)
@@ -94,7 +96,7 @@
     assert world.abort("j-1") == 200
     if twice:
         change_leader(world)
-    assert len(world.running("j-1")) == 6, "nobody can be asked, and nobody can be told"
+    assert len(world.running("j-1")) == 6, "workers can be neither probed nor commanded, so all tasks should still run"
     world.run(4)
     world.filter = lambda *_: None
     assert world.run(40, lambda: world.poll("j-2") == "done")
@@ -102,16 +104,16 @@
     assert world.broken == []
 
 
-# Cancelled while a block changes hands
+# Cancellation during a block handover
 
 
 @pytest.mark.parametrize(
     "moment", ["old holder ends", "grant is not heard of", "new holder lags", "start is under way"]
 )
 @pytest.mark.parametrize("shape", ["batch", "ensemble"])
-def test_jobs_cancelled_in_the_seconds_in_which_a_block_changes_hands(moment, shape):
+def test_jobs_cancelled_during_block_handover_stop_running(moment, shape):
     world = ready_world(machines=9, capacity=9)
-    fields = KINDS[shape]
+    fields = FIELDS_BY_SHAPE[shape]
     for n in range(6):
         world.submit(f"j-{n}", 2, run_s=300.0, cpus=0.5, bay="abc"[n % 3], **fields)
     if moment != "start is under way":
@@ -119,7 +121,7 @@
     leader = world.leader_name()
     old = next(n for n in world.node_names if n != leader)
     zone = world.nodes[old].blocks.held_zones()[0]
-    before = world.leader().blocks.grants[zone].token
+    old_token = world.leader().blocks.grants[zone].token
     if moment == "start is under way":
         world.filter = lambda source, target, path: "held" if source == old and path == "/commands" else None
         world.late_request_delay_s = (1.0, 20.0)
@@ -135,22 +137,22 @@
                 follow = world.nodes[name].mirror.watch_once
                 world.nodes[name].mirror.watch_once = lambda: None
                 world.run_after(6.0, lambda n=name, f=follow: setattr(world.nodes[n].mirror, "watch_once", f))
-    told = []
+    early_statuses = []
 
-    def cancel_around_the_grant() -> bool:
-        now = world.store.data[f"l/block/{zone}"][0]["token"]
-        if len(told) < 3 and (now > before or world.store.data.get(f"l/node/{old}") is None):
-            told.append(world.abort(f"j-{len(told)}", node=leader))
-        return now > before and len(told) >= 3
+    def cancel_around_grant() -> bool:
+        current_token = world.store.data[f"l/block/{zone}"][0]["token"]
+        if len(early_statuses) < 3 and (current_token > old_token or world.store.data.get(f"l/node/{old}") is None):
+            early_statuses.append(world.abort(f"j-{len(early_statuses)}", node=leader))
+        return current_token > old_token and len(early_statuses) >= 3
 
-    assert world.run(25, cancel_around_the_grant)
+    assert world.run(25, cancel_around_grant)
     world.filter = lambda *_: None
     users = [n for n in world.node_names if n != old]
     assert [world.abort(f"j-{n}", node=users[n % 2]) in (200, 503) for n in range(6)] == [True] * 6
     world.run(2)
     assert world.run(10, lambda: {world.abort(f"j-{n}", node=users[n % 2]) for n in range(6)} == {200})
     world.run(20)
-    assert world.running() == [], "the new holder, or the lease, has ended them"
+    assert world.running() == [], "neither the new holder nor the lease end stopped the tasks"
     if not world.runs(old):
         world.start_node(old)
     world.cut_from_store = world.cut_from_peers = set()
@@ -159,36 +161,38 @@
     assert world.broken == []
 
 
-# Cancelled, and the machine hangs and goes on
+# Cancellation on a machine that hangs and resumes
 
 
 @pytest.mark.parametrize("hang", [3.0, 10.0, 14.5, 20.0, 60.0])
 @pytest.mark.parametrize("what", ["nothing else", "the leader changes", "an outage", "the holder is cut off"])
-def test_a_cancelled_task_on_a_machine_that_hangs_and_goes_on_is_gone_in_time(hang, what):
-    """Within its lease it goes on where it stood, and hears the stop that waited; behind it, it has nothing left."""
+def test_cancelled_task_on_hung_machine_ends_in_time(hang, what):
+    """A worker that resumes within its lease receives the pending stop; after its lease, it has no tasks left."""
     world = ready_world(machines=6, capacity=6)
     disable_machine_returns(world)
     world.submit("j-1", 3, run_s=300.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 3)
-    hung = {worker_of(world, f"j-1/{n}") for n in range(3)}
-    for worker in hung:
+    hung_workers = {worker_of(world, f"j-1/{n}") for n in range(3)}
+    for worker in hung_workers:
         worker.hang(hang)
     world.run(0.3)
     assert world.abort("j-1") == 200
-    told = world.clock.now
+    confirmed_at = world.clock.now
     if what == "the leader changes":
         world.kill_node(world.leader_name())
     elif what == "an outage":
         world.store.outage(True)
     elif what == "the holder is cut off":
         world.cut_from_store = {world.leader_name()}
-    assert len(world.running("j-1")) == 3, "they hang on machines that nothing was heard by"
+    assert len(world.running("j-1")) == 3, "hung machines received nothing, so all tasks should still be there"
     gone = world.run(world.times.cancel.total_seconds() - 1, lambda: world.running("j-1") == [])
-    assert gone, f"still there {(world.clock.now - told).total_seconds():.0f} s after its user was told"
+    assert gone, (
+        f"still running {(world.clock.now - confirmed_at).total_seconds():.0f} s after the cancellation was confirmed"
+    )
     world.store.outage(False)
     world.cut_from_store = set()
     world.run(70)
-    assert world.running("j-1") == [] and all(w.hang_period is None for w in hung)
+    assert world.running("j-1") == [] and all(w.hang_period is None for w in hung_workers)
     assert world.broken == []
 
 
@@ -198,21 +202,21 @@
     world.submit("j-1", run_s=30.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
-    since = worker.lease_renewed_at
+    renewed_at = worker.lease_renewed_at
     worker.hang(40.0)
     assert world.run(40, lambda: len(world.starts) == 2)
-    assert world.clock.now - since > world.times.lease, "it might have gone on at any moment within its lease"
+    assert world.clock.now - renewed_at > world.times.lease, "the hung worker could still have resumed within its lease"
     assert world.run(80, lambda: world.poll("j-1") == "done")
     assert world.broken == []
 
 
-# Cancelled while it saves
+# Cancellation during a save
 
 
 @pytest.mark.parametrize("shape", ["batch", "ensemble"])
 @pytest.mark.parametrize("moment", ["while it saves", "with its machine out of reach"])
-def test_a_task_that_is_saving_when_its_job_is_cancelled_saves_no_longer(shape, moment):
-    """Found by reading: it was told once how long it may save, which nothing shortened; here longer than cancel_s."""
+def test_cancellation_cuts_a_running_save_short(shape, moment):
+    """Found by code review: the save time sent with the first stop, here longer than cancel_s, was never shortened."""
     world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 2, shape=shape, run_s=300.0, mark_s=5.0, stow_s=90.0, cpus=1.0)
     assert world.run(20, lambda: len(world.running("j-1")) == 2)
@@ -239,13 +243,13 @@
 
 
 @pytest.mark.parametrize("writes", ["in time", "late", "unheard"])
-def test_machines_up_within_two_seconds_get_work_while_writes_lag_and_the_leader_ends(writes):
+def test_new_machines_are_used_despite_slow_writes_and_leader_loss(writes):
     world = ready_world(machines=1, capacity=8)
     world.cloud.boot = seconds(1.5)
     rented: list[float] = []
     handle = world.cloud.handle
 
-    def noting(method, path, body):
+    def kill_leader_after_rental(method, path, body):
         reply = handle(method, path, body)
         if path == "/rentals" and reply.status == 200 and not rented:
             rented.append(world.clock.now.total_seconds())
@@ -257,22 +261,22 @@
             world.run_after(4.0, lambda: world.runs(leader) or world.start_node(leader))
         return reply
 
-    world.cloud.handle = noting
+    world.cloud.handle = kill_leader_after_rental
     world.submit("j-1", 24, crew="blue", run_s=6.0)
     assert world.run(60, lambda: world.poll("j-1") == "done")
-    assert rented, "machines were rented and their leader ended"
+    assert rented, "no machine was rented, so the leader was not killed"
     assert sorted(set(world.starts)) == sorted(f"j-1/{n}" for n in range(24))
     known = {n for node in world.nodes.values() for n in node.inventory.machines}
-    assert set(world.cloud.machines) <= known, "each is used or returned"
+    assert set(world.cloud.machines) <= known, "a rented machine is unknown to all nodes"
     assert world.broken == []
 
 
-# Old reports everywhere as another leader begins
+# Old reports replayed to all nodes at a leader change
 
 
-@pytest.mark.parametrize("forgetful", ["none", "one", "all"])
+@pytest.mark.parametrize("restarted_nodes", ["none", "one", "all"])
 @pytest.mark.parametrize("age", ["before its tasks", "while they ran", "of an earlier session"])
-def test_an_old_report_reaches_every_controller_just_as_a_new_leader_begins(age, forgetful):
+def test_replayed_reports_at_leader_change_break_no_rule(age, restarted_nodes):
     world = ready_world(machines=6, capacity=6)
     if age == "before its tasks":
         world.reports_for_next_leader = []
@@ -284,8 +288,8 @@
         world.reports_for_next_leader = []
         world.run(3)
         assert any(r["fronds"] for r in world.reports_for_next_leader)
-    kept = world.reports_for_next_leader
-    assert kept
+    old_reports = world.reports_for_next_leader
+    assert old_reports
     world.reports_for_next_leader = None
     if age == "of an earlier session":
         for worker in workers(world)[::2]:
@@ -294,18 +298,18 @@
             worker.lease_renewed_at = world.clock.now
     assert world.run(20, lambda: len(world.running("j-1")) == 6)
     world.run(2)
-    world.reports_for_next_leader = kept
+    world.reports_for_next_leader = old_reports
     for name in world.node_names:
-        if forgetful == "all" or (forgetful == "one" and name != world.leader_name()):
+        if restarted_nodes == "all" or (restarted_nodes == "one" and name != world.leader_name()):
             world.kill_node(name)
             world.start_node(name)
-            if forgetful == "one":
+            if restarted_nodes == "one":
                 break
-    if forgetful != "all":
+    if restarted_nodes != "all":
         world.kill_node(world.leader_name())
-    assert world.run(20, lambda: world.reports_for_next_leader == [] or world.reports_for_next_leader is not kept), (
-        "they came in"
-    )
+    assert world.run(
+        20, lambda: world.reports_for_next_leader == [] or world.reports_for_next_leader is not old_reports
+    ), "the old reports were not replayed"
     world.reports_for_next_leader = None
     for name in world.node_names:
         if not world.runs(name):
@@ -315,7 +319,7 @@
     assert world.broken == []
 
 
-# Leaders
+# Repeated leader changes
 
 
 @pytest.mark.parametrize("outage", [False, True])
@@ -323,7 +327,7 @@
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     world.submit("j-2", 9, run_s=60.0, cpus=0.5)
-    world.submit("j-3", 3, run_s=40.0, cpus=0.5, **GANG)
+    world.submit("j-3", 3, run_s=40.0, cpus=0.5, **GANG_FIELDS)
     assert world.run(15, lambda: len(world.running()) == 18)
     terms = set()
     for number in range(10):
@@ -340,16 +344,16 @@
             world.abort(f"j-4{number}")
         world.run(11)
     assert len(terms) >= 9
-    late = [f"j-4{n}" for n in range(10) if f"j-4{n}" in world.last_told_state]
-    assert world.run(60, lambda: all(world.poll(r) in ("done", "withdrawn") for r in ("j-2", "j-3", *late)))
+    small_jobs = [f"j-4{n}" for n in range(10) if f"j-4{n}" in world.last_told_state]
+    assert world.run(60, lambda: all(world.poll(r) in ("done", "withdrawn") for r in ("j-2", "j-3", *small_jobs)))
     assert len(world.running("j-1")) == 6
     assert world.broken == []
 
 
-# Away or cut off for longer than a lease
+# Controllers or a zone unavailable for longer than a lease
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease():
+def test_jobs_recover_after_all_nodes_are_down_for_longer_than_a_lease():
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", cpus=0.5)
     world.submit("j-2", 6, run_s=30.0, cpus=0.5)
@@ -359,7 +363,7 @@
     for name in world.node_names:
         world.kill_node(name)
     world.run(world.times.lease.total_seconds() + 3)
-    assert world.running() == [], "all leases have ended"
+    assert world.running() == [], "a task outlived its lease"
     for name in world.node_names:
         world.start_node(name)
     assert world.run(20, lambda: len(world.running("j-1")) == 6)
@@ -369,8 +373,8 @@
 
 
 @pytest.mark.parametrize("length", [12.0, 25.0, 60.0])
-def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(length):
-    """Inside it goes on by itself for as long as the rule on cancellations lets it; then its leases end."""
+def test_partitioned_zone_recovers_and_breaks_no_rule(length):
+    """The isolated holder renews leases for as long as the rule on cancellations allows it; then the leases end."""
     world = ready_world(machines=9, capacity=12)
     world.submit("j-1", 6, shape="service", cpus=1.0, apart=True)
     world.submit("j-2", 6, run_s=20.0, cpus=1.0)
@@ -378,16 +382,16 @@
     assert world.run(15, lambda: len(world.running()) == 15)
     name = next(n for n in world.node_names if n != world.leader_name())
     zone = world.nodes[name].platform.zone
-    inside = {w.name for w in workers(world) if w.zone == zone}
+    isolated_workers = {w.name for w in workers(world) if w.zone == zone}
     out = [n for n in world.node_names if n != name]
     world.cut_from_store = world.cut_from_peers = {name}
     addresses = {w.address for w in workers(world) if w.zone == zone}
 
-    def parted(source, target, path):
-        there, here = source in inside or source == name, target in addresses or target == name
+    def cut_zone_off(source, target, path):
+        there, here = source in isolated_workers or source == name, target in addresses or target == name
         return "lost" if there is not here and (path in ("/checkin", "/commands", "/status")) else None
 
-    world.filter = parted
+    world.filter = cut_zone_off
     world.run(1)
     assert world.abort("j-3", node=out[0]) == 200
     world.run(length)
@@ -399,10 +403,10 @@
 
 
 @pytest.mark.parametrize("shape", ["batch", "ensemble", "service"])
-def test_jobs_bound_to_a_zone_lose_their_machines(shape):
-    """What is rented instead is rented there, and not a task starts elsewhere."""
+def test_zone_bound_jobs_restart_only_in_their_zone(shape):
+    """Replacement machines are rented in the same zone, and no task of the job starts in another zone."""
     world = ready_world(machines=6, capacity=9)
-    fields = KINDS[shape]
+    fields = FIELDS_BY_SHAPE[shape]
     world.submit("j-1", 4, run_s=20.0, bay="b", crew="blue", **fields)
     world.submit("j-2", 4, run_s=20.0, together=True, crew="blue", **fields)
     assert world.run(20, lambda: len(world.running()) == 8)
@@ -424,11 +428,11 @@
     )
     for n in range(24):
         urgent = n % 4 == 0
-        fields = GANG if n % 3 == 1 else {}
+        fields = GANG_FIELDS if n % 3 == 1 else {}
         world.submit(f"j-{n:02d}", 4, crew="blue", urgency="high" if urgent else "low", run_s=4.0, cpus=2.0, **fields)
         world.run(1)
     waiting = [r for r in world.last_told_state if not world.running(r) and world.poll(r) == "pending"]
-    assert len(waiting) > 6, "more work than room"
+    assert len(waiting) > 6, "the jobs did not exceed the capacity"
     world.starvation_check.enabled = True
     assert world.run(300, lambda: all(world.poll(r) == "done" for r in world.last_told_state))
     assert world.starvation_check.starved_jobs == {}
@@ -437,35 +441,37 @@
 
 @pytest.mark.parametrize("slow", [False, True])
 @pytest.mark.parametrize("first", [2.0, 12.0])
-def test_the_state_service_refuses_the_leader_then_all_while_users_cancel_and_ask(first, slow):
+def test_users_get_no_stale_state_when_store_refuses_leader_then_all(first, slow):
     world = ready_world(machines=9, capacity=9)
-    answered = []
+    requests = []
 
-    def wait(source, target, path):
-        """Every seventh transaction takes as long as some callers wait."""
-        answered.append(path)
-        return 1.4 if slow and target == STORE and path == "/commit" and len(answered) % 7 == 0 else 0.0
+    def delay_commit(source, target, path):
+        """Delay every seventh transaction for as long as some callers wait at most."""
+        requests.append(path)
+        return 1.4 if slow and target == STORE and path == "/commit" and len(requests) % 7 == 0 else 0.0
 
-    world.pause_before_request = wait
+    world.pause_before_request = delay_commit
     for n in range(8):
         world.submit(f"j-{n}", 2, run_s=200.0, cpus=0.5)
     assert world.run(15, lambda: len(world.running()) == 16)
     leader = world.leader_name()
     world.cut_from_store = {leader}
     world.run(first / 2)
-    told = [world.abort(f"j-{n}", node=world.node_names[n % 3]) for n in range(4)]
-    assert 200 in told and 503 in told, "who is refused confirms nothing"
+    statuses = [world.abort(f"j-{n}", node=world.node_names[n % 3]) for n in range(4)]
+    assert 200 in statuses and 503 in statuses, "the refused node must not confirm a cancellation, and the others must"
     world.run(first / 2)
     world.store.outage(True)
-    asked = []
+    reported_states = []
     end = world.clock.now + world.times.cancel + seconds(5)
     while world.clock.now < end:
         world.run(1)
         for n in range(8):
-            asked += world.ask_all_nodes(f"j-{n}") if world.clock.now.seconds % 5 == 0 else [world.poll(f"j-{n}")]
+            reported_states += (
+                world.ask_all_nodes(f"j-{n}") if world.clock.now.seconds % 5 == 0 else [world.poll(f"j-{n}")]
+            )
             if n > 5:
                 assert world.abort(f"j-{n}") == 503
-    assert {*asked} <= {None, "withdrawn"}, "nothing that may be old is told"
+    assert {*reported_states} <= {None, "withdrawn"}, "a node answered with a state that may be stale"
     world.store.outage(False)
     world.cut_from_store = set()
     assert world.run(40, lambda: {world.poll(f"j-{n}") for n in (4, 5)} == {"running"})
@@ -475,23 +481,23 @@
 
 
 def test_workers_that_cannot_send_still_execute_stops():
-    """Mute machines: direct commands reach them, their reports and answers reach nobody."""
+    """Mute machines: commands reach their workers, but the workers' reports and responses are lost."""
     world = ready_world(machines=6, capacity=6)
     world.submit("j-1", 4, run_s=300.0)
     world.submit("j-2", 3, shape="service", cpus=1.0)
     assert world.run(10, lambda: len(world.running()) == 7)
-    mute = [worker_of(world, "j-1/0"), worker_of(world, "j-2/0")]
-    for worker in mute:
+    mute_workers = [worker_of(world, "j-1/0"), worker_of(world, "j-2/0")]
+    for worker in mute_workers:
         worker.message_loss = MessageLoss.OUTBOUND_LOST
     world.run(0.3)
     assert world.abort("j-1") == 200
-    told = world.clock.now
+    confirmed_at = world.clock.now
     assert world.run(5, lambda: not any(f.startswith("j-1") for f, _ in world.running()))
-    assert world.clock.now - told < seconds(5), "they were told at once, though they could not say so"
+    assert world.clock.now - confirmed_at < seconds(5), "the commands did not reach the workers at once"
     stopping = [p for n in world.nodes.values() for p in n.job_index.placements() if p.phase is Phase.STOPPING]
-    assert stopping, "nobody knows that yet"
+    assert stopping, "no node should know yet that the tasks were stopped"
     assert world.run(60, lambda: len(world.running("j-2")) == 3 and "l/job/j-1" not in world.store.data)
-    for worker in mute:
+    for worker in mute_workers:
         worker.message_loss = None
     world.run(30)
     assert world.broken == []
--- a/tests/test_lease_renewal_outage.py
+++ b/tests/test_lease_renewal_outage.py
@@ -1,7 +1,8 @@
-"""The gap: the state service refuses a holder alone, cancellations are confirmed elsewhere, then it is down for all.
+"""Lease renewal by a holder that misses cancellations: the state service refuses it alone, then is down for all nodes.
 
-Workers go on reporting to a holder that never hears of those cancellations.  All that ends their tasks is that it
-stops renewing leases in time: `kelpjunction.renewal` has the inequality.
+Cancellations are confirmed through other nodes before the outage.  Workers go on reporting to the holder, which never
+gets to know of them.  Their tasks end only because the holder stops renewing leases in time: `kelpjunction.renewal`
+has the inequality.
 """
 
 from dataclasses import dataclass
@@ -19,54 +20,60 @@
 from kelpjunction.store.mirror import Mirror
 from kelpjunction.transport import Reply
 
-# Of `cancel`, lease and grace leave nothing to spare but what the inequality gives the kill.
+# Lease and grace period use up all of `cancel` but the time that the inequality leaves for the kill.
 SHORT_GRACE_TIMES = WorkerTimes(seconds(2), seconds(15), seconds(30), seconds(5), seconds(30))
-KINDS = ({"shape": "batch"}, {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}, {"shape": "service"})
+SHAPE_FIELDS = ({"shape": "batch"}, {"shape": "ensemble", "mark_s": 5.0, "stow_s": 1.0}, {"shape": "service"})
 
 
 @dataclass
 class OutageScenario:
-    """When what happens, in seconds from the refusal on."""
+    """The times of the events, in seconds from the start of the refusal."""
 
-    refused_node: str = "leader"  # or a holder that does not lead
-    cancelled_at_s: tuple[float, ...] = (0.3, 1.9)  # one job of each shape at each
-    outage_at_s: float = 2.0  # begins
+    refused_node: str = "leader"  # or "a holder": one that is not the leader
+    cancelled_at_s: tuple[float, ...] = (0.3, 1.9)  # one job of each shape at each time
+    outage_at_s: float = 2.0  # the outage begins
     refusal_duration_s: float = 14.0
-    extra_grace_s: float = 0.0  # beyond what the inequality allows: to see that the trace would notice
+    extra_grace_s: float = 0.0  # more than the inequality allows, to check that a violation is detected
     rounds: int = 1
-    new_holder_hears_cancellations: bool = False  # whether who holds the block by then hears of all cancellations
+    new_holder_hears_cancellations: bool = False  # whether the block's new holder knows all of them
 
 
-def play_scenario(world: World, gap: OutageScenario) -> tuple[dict[str, float], int]:
-    """Play it; returns how long the tasks of each cancelled job outlived its confirmation, and how many there were."""
+def play_scenario(world: World, scenario: OutageScenario) -> tuple[dict[str, float], int]:
+    """Play the scenario.
+
+    Returns how long the tasks of each cancelled job outlived its confirmation, in seconds, and the number of jobs per
+    round.
+    """
     holders = [n for n in world.node_names if world.nodes[n].blocks.held_zones()]
     leader = world.leader_name()
-    old = leader if gap.refused_node == "leader" else next(n for n in holders if n != leader)
-    zone = world.nodes[old].blocks.held_zones()[0]
-    other = next(n for n in world.node_names if n != old)
+    refused = leader if scenario.refused_node == "leader" else next(n for n in holders if n != leader)
+    zone = world.nodes[refused].blocks.held_zones()[0]
+    other = next(n for n in world.node_names if n != refused)
     for node in world.nodes.values():
         renewal = node.leadership.renewal
         node.leadership.renewal = LeaseRenewalPolicy(
-            renewal.lease, renewal.cancel_timeout + seconds(gap.extra_grace_s), renewal.block_lease
+            renewal.lease, renewal.cancel_timeout + seconds(scenario.extra_grace_s), renewal.block_lease
         )
-    lasted: dict[str, float] = {}
-    for number in range(gap.rounds):
+    overrun_s: dict[str, float] = {}
+    for number in range(scenario.rounds):
         refs = {}
-        for at, _ in enumerate(gap.cancelled_at_s):
-            for kind, fields in enumerate(KINDS):
+        for at, _ in enumerate(scenario.cancelled_at_s):
+            for kind, fields in enumerate(SHAPE_FIELDS):
                 refs[at, kind] = f"j-{number}{at}{kind}"
                 world.submit(refs[at, kind], 2, run_s=300.0, cpus=0.5, bay=zone, **fields)
         assert world.run(20, lambda refs=refs: all(len(world.running(r)) == 2 for r in refs.values()))
         world.run(3)
-        began = world.clock.now
-        world.cut_from_store = {old}
-        acts = [
-            (gap.outage_at_s, "outage"),
-            (gap.refusal_duration_s, "served"),
-            *((t, n) for n, t in enumerate(gap.cancelled_at_s)),
+        refused_at = world.clock.now
+        world.cut_from_store = {refused}
+        events = [
+            (scenario.outage_at_s, "outage"),
+            (scenario.refusal_duration_s, "served"),
+            *((t, n) for n, t in enumerate(scenario.cancelled_at_s)),
         ]
-        for at, what in [*sorted(acts, key=lambda act: act[0]), (gap.outage_at_s + 61, "over")]:
-            world.run((began + seconds(at) - world.clock.now).total_seconds(), lambda: _note(world, lasted))
+        for at, what in [*sorted(events, key=lambda event: event[0]), (scenario.outage_at_s + 61, "over")]:
+            world.run(
+                (refused_at + seconds(at) - world.clock.now).total_seconds(), lambda: _record_overruns(world, overrun_s)
+            )
             if what == "outage":
                 world.store.outage(True)
             elif what == "served":
@@ -74,16 +81,16 @@
             elif what == "over":
                 world.store.outage(False)
             else:
-                for kind in range(len(KINDS)):
+                for kind in range(len(SHAPE_FIELDS)):
                     _cancel(world, refs[what, kind], other)
-        world.run(25, lambda: _note(world, lasted))
-    return lasted, len(refs)
+        world.run(25, lambda: _record_overruns(world, overrun_s))
+    return overrun_s, len(refs)
 
 
-def _note(world: World, lasted: dict[str, float]) -> bool:
+def _record_overruns(world: World, overrun_s: dict[str, float]) -> bool:
     for ref, told in world.told_cancelled.items():
         if world.running(ref):
-            lasted[ref] = (world.clock.now - told).total_seconds()
+            overrun_s[ref] = (world.clock.now - told).total_seconds()
     return False
 
 
@@ -92,67 +99,67 @@
 
 
 @pytest.mark.parametrize(
-    "gap",
+    "scenario",
     [
         OutageScenario(),
         OutageScenario(refused_node="a holder"),
         OutageScenario(cancelled_at_s=(0.0, 0.1)),
-        OutageScenario(
-            cancelled_at_s=(-0.1, 1.9)
-        ),  # just before the refusal, and at the last instant before the outage
+        OutageScenario(cancelled_at_s=(-0.1, 1.9)),  # just before the refusal, and just before the outage
         OutageScenario(
             cancelled_at_s=(0.5, 4.5), outage_at_s=5.0, new_holder_hears_cancellations=True
-        ),  # others lead by then, and hold the block
+        ),  # another node leads by then, and another holds the block
         OutageScenario(cancelled_at_s=(0.5, 1.5), outage_at_s=1.6, refusal_duration_s=80.0),
         OutageScenario(rounds=2),
     ],
-    ids=lambda gap: f"{gap.refused_node}-{gap.cancelled_at_s}-{gap.outage_at_s}-{gap.refusal_duration_s}-{gap.rounds}",
+    ids=lambda s: f"{s.refused_node}-{s.cancelled_at_s}-{s.outage_at_s}-{s.refusal_duration_s}-{s.rounds}",
 )
-def test_cancelled_tasks_end_in_time_when_store_refuses_holder_then_all(gap):
+def test_cancelled_tasks_end_in_time_when_store_refuses_holder_then_all(scenario):
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
-    lasted, jobs = play_scenario(world, gap)
+    overrun_s, jobs = play_scenario(world, scenario)
     assert world.broken == []
     assert jobs == 6
-    if gap.new_holder_hears_cancellations:
-        assert max(lasted.values(), default=0) < 5, "the new holder has told the workers"
+    if scenario.new_holder_hears_cancellations:
+        assert max(overrun_s.values(), default=0) < 5, "the new holder did not stop the tasks by commands"
     else:
-        assert max(lasted.values()) > 20, "the holder did not hear: leases ended them"
+        assert max(overrun_s.values()) > 20, (
+            "the tasks ended before their leases, so the holder learned of the cancellations"
+        )
 
 
-@pytest.mark.parametrize("pace", [0.9995, 1.0005])
-def test_gap_with_workers_whose_clocks_drift(pace):
+@pytest.mark.parametrize("clock_rate", [0.9995, 1.0005])
+def test_cancelled_tasks_end_in_time_with_clock_drift(clock_rate):
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     for worker, _ in world.cloud.machines.values():
-        worker.clock_rate = pace
+        worker.clock_rate = clock_rate
     play_scenario(world, OutageScenario())
     assert world.broken == []
 
 
-def test_gap_with_reports_and_answers_on_their_way_for_seconds():
-    """A 200 that was checked long before it arrives renews no more than its report's sending does."""
+def test_cancelled_tasks_end_in_time_with_delayed_messages():
+    """A 200 that arrives long after its check renews the lease only from the time when the report was sent."""
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     world.network_conditions = NetworkConditions(delay_range_s=(0.1, 3.8), loss_rate=0.0)
     play_scenario(world, OutageScenario())
     assert world.broken == []
 
 
-def test_the_trace_notices_a_node_that_renews_for_too_long():
+def test_scenario_detects_overlong_renewal():
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     play_scenario(world, OutageScenario(cancelled_at_s=(-0.1, 0.1), extra_grace_s=4.0))
     assert {b.split(":")[0] for b in world.broken} == {"ran_cancelled"}
 
 
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
-def test_gap_while_a_start_is_under_way(path):
-    """The holder was about to start, or to write down, what is cancelled through another node meanwhile."""
+def test_cancelled_tasks_end_in_time_with_start_in_flight(path):
+    """The job is cancelled through another node just before the holder sends its start or commits its placement."""
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     holder = world.leader_name()
     other = next(n for n in world.node_names if n != holder)
-    struck = []
+    faulted = []
 
-    def strike(source, target, at):
-        if source == holder and at == path and not struck:
-            struck.append(at)
+    def cut_off_and_cancel(source, target, at):
+        if source == holder and at == path and not faulted:
+            faulted.append(at)
             world.cut_from_store = {holder}
             world.run(0.5)
             _cancel(world, "j-1", other)
@@ -162,16 +169,16 @@
         return 0.0
 
     world.run(1)
-    world.pause_before_request = strike
+    world.pause_before_request = cut_off_and_cancel
     world.submit("j-1", 12, run_s=300.0, cpus=0.5, node=other)
     world.run(90)
-    assert struck == [path]
+    assert faulted == [path]
     assert world.running("j-1") == []
     assert world.broken == []
 
 
 @pytest.mark.parametrize("what", ["restart", "lease ends"])
-def test_gap_while_a_workers_session_changes(what):
+def test_cancelled_tasks_end_in_time_across_session_change(what):
     world = ready_world(machines=9, capacity=9, times=SHORT_GRACE_TIMES)
     old = world.leader_name()
     other = next(n for n in world.node_names if n != old)
@@ -185,7 +192,7 @@
     _cancel(world, "j-1", other)
     world.run(1)
     world.store.outage(True)
-    world.run(17)  # where a lease ends that is not renewed
+    world.run(17)  # a lease that is not renewed ends meanwhile
     for worker in workers:
         worker.partitioned = False
     world.run(45)
@@ -197,29 +204,29 @@
     assert world.broken == []
 
 
-# The inequality, from both sides
+# Both sides of the inequality
 
 
 @pytest.mark.parametrize(("lease", "cancel"), [(15, 40), (29, 49), (10, 35), (29, 31), (29, 29.5), (16, 41)])
 def test_grace_period_uses_cancel_limit_fully(lease, cancel):
     renewal = LeaseRenewalPolicy(seconds(lease), seconds(cancel), block_lease=seconds(1000))
-    known_to, step = seconds(500), timedelta(milliseconds=1)
-    last = known_to + renewal.grace_period - step
-    assert renewal.may_renew(known_to, last)
-    assert not renewal.may_renew(known_to, known_to + renewal.grace_period)
-    assert not renewal.may_renew(None, known_to)
-    # On clocks that are late by 0.05 %, the last report's lease; and nothing is given away but the kill's time.
-    gone = (last + renewal.lease - known_to) * 1.0005
-    assert gone < renewal.cancel_timeout
-    assert renewal.cancel_timeout - gone < seconds(1.6)
+    known_until, step = seconds(500), timedelta(milliseconds=1)
+    last = known_until + renewal.grace_period - step
+    assert renewal.may_renew(known_until, last)
+    assert not renewal.may_renew(known_until, known_until + renewal.grace_period)
+    assert not renewal.may_renew(None, known_until)
+    # The lease of the last report ends in time on clocks that are slow by 0.05 %; only the time of the kill is unused.
+    longest_run = (last + renewal.lease - known_until) * 1.0005
+    assert longest_run < renewal.cancel_timeout
+    assert renewal.cancel_timeout - longest_run < seconds(1.6)
 
 
 def test_short_grace_shortens_watch_and_no_grace_is_refused():
-    ample = LeaseRenewalPolicy(seconds(15), seconds(40), seconds(20))
-    little = LeaseRenewalPolicy(seconds(29), seconds(30), seconds(20))
-    assert (ample.grace_period_short, little.grace_period_short) == (False, True)
-    assert ample.grace_period == seconds(20)
-    assert little.watch_timeout * 2 < little.grace_period < MIN_COMFORTABLE_GRACE
+    long_grace = LeaseRenewalPolicy(seconds(15), seconds(40), seconds(20))
+    short_grace = LeaseRenewalPolicy(seconds(29), seconds(30), seconds(20))
+    assert (long_grace.grace_period_short, short_grace.grace_period_short) == (False, True)
+    assert long_grace.grace_period == seconds(20)
+    assert short_grace.watch_timeout * 2 < short_grace.grace_period < MIN_COMFORTABLE_GRACE
     with pytest.raises(ValueError, match="cancel_s must be above lease_s"):
         LeaseRenewalPolicy(seconds(29), seconds(29.02), seconds(20))
 
@@ -243,11 +250,11 @@
     assert world.broken == []
 
 
-# What counts as a moment up to which all is known
+# The time up to which a mirror is complete
 
 
 class SlowStore:
-    """A state service each of whose answers takes a second to come; `applied` is what it has at a request's arrival."""
+    """A state service whose responses take one second; it applies each request on arrival."""
 
     def __init__(self, world: World) -> None:
         self.world, self.asked = world, []
@@ -261,20 +268,20 @@
 
 def test_mirror_freshness_is_request_time():
     world = World()
-    late = SlowStore(world)
-    store = StoreClient(late, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0)
-    mirror = Mirror(store, world.clock, late)
+    slow_store = SlowStore(world)
+    store = StoreClient(slow_store, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0)
+    mirror = Mirror(store, world.clock, slow_store)
     began = world.clock.now
     mirror.watch_once()
-    assert mirror.known_until == began, "a read of all keys, in however many pages: when its first one was asked for"
+    assert mirror.known_until == began, "a read of all keys is as fresh as the request of its first page"
     opened = world.clock.now
     mirror.watch_once()
-    assert mirror.known_until == opened, "a watch: when it was opened, not when its answer came"
+    assert mirror.known_until == opened, "a watch is as fresh as its opening, not its response"
     world.clock.now += seconds(1)
     mirror.put_outcome({"l/job/j-1": {}}, (), 10**6)
     mirror.refresh("l/job/j-2")
     store.commit({"l/job/j-2": 0})
-    assert mirror.known_until == opened, "own writes, a single key and a comparison say nothing of other keys"
+    assert mirror.known_until == opened, "own writes, a read of one key and a comparison prove nothing of other keys"
 
 
 def test_watch_freshness_is_its_opening_time():
@@ -282,7 +289,7 @@
     mirror = Mirror(
         StoreClient(None, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0),
         world.clock,
-        waits := SlowStore(world),
+        watch_transport := SlowStore(world),
     )
     mirror.revision, mirror.known_until, mirror._read_at = 0, world.clock.now, world.clock.now
     opened = world.clock.now
@@ -291,6 +298,6 @@
         world.clock.now += seconds(14)
         return Reply(200, {"ledger": 0, "news": []})
 
-    waits.request = held
+    watch_transport.request = held
     mirror.watch_once()
     assert mirror.known_until == opened
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""What is believed of a machine: reports that come late or alone prove nothing, round trips do."""
+"""Reachability of machines: a round trip proves it; late reports and reports alone do not."""
 
 import orjson
 import pytest
@@ -21,11 +21,11 @@
 
 
 def report_copy(worker) -> bytes:
-    """A report as the worker would send it now; only the copy of it ever arrives."""
+    """Return the report that the worker would send now, to be delivered later as a copy."""
     return orjson.dumps(worker.report())
 
 
-# A machine that hears nothing
+# Machines that receive no messages
 
 
 @pytest.mark.parametrize("one_way", MessageLoss)
@@ -40,19 +40,19 @@
     world.run(40)
     assert world.broken == []
     assert lost.name not in world.cloud.machines or not [t for t, m in world.running() if m == lost.name]
-    assert len(world.running("j-1")) == 3, "its replica runs elsewhere"
+    assert len(world.running("j-1")) == 3, "the lost replica did not start elsewhere"
     assert world.poll("j-2") == "done"
 
 
 @pytest.mark.parametrize("what", ["a zone", "all but one", "the only one"])
-def test_many_machines_that_hear_nothing_at_once(what):
-    """Each 200 might renew a lease, so none is said to them: what they had is settled when the leases have ended."""
+def test_jobs_finish_after_many_machines_are_unreachable(what):
+    """Each 200 might renew a lease, so unreachable workers get none; their tasks are settled when their leases end."""
     world = ready_world(machines=1 if what == "the only one" else 9, capacity=12)
     world.submit("j-1", 2, run_s=60.0)
     world.submit("j-2", 2, shape="ensemble", mark_s=5.0, stow_s=1.0, run_s=60.0)
     world.run(4)
-    hit = [w for w in workers(world) if what != "a zone" or w.zone == "a"]
-    for worker in hit[: -1 if what == "all but one" else None]:
+    affected = [w for w in workers(world) if what != "a zone" or w.zone == "a"]
+    for worker in affected[: -1 if what == "all but one" else None]:
         worker.message_loss = MessageLoss.INBOUND_LOST
     world.run(90)
     for worker in workers(world):
@@ -61,27 +61,27 @@
     assert world.broken == []
 
 
-def test_machine_comes_back_into_use_after_round_trips_and_not_before():
+def test_machine_is_usable_again_only_after_round_trips():
     world = ready_world(machines=3, capacity=3)
     worker = next(w for w in workers(world) if w.zone == "a")
     holder = holder_of(world, worker)
-    holder.machine_monitor._looks_partitioned = lambda zone: True  # so that it is not returned meanwhile
+    holder.machine_monitor._looks_partitioned = lambda zone: True  # prevents the return of the machine
     worker.message_loss = MessageLoss.INBOUND_LOST
     assert world.run(20, lambda: not holder.inventory.machines[worker.name].usable)
     world.run(10)
-    contact = holder.worker_registry.workers[worker.name].reachability_tracker
-    assert contact.reachability is Reachability.UNREACHABLE
+    tracker = holder.worker_registry.workers[worker.name].reachability_tracker
+    assert tracker.reachability is Reachability.UNREACHABLE
     worker.message_loss = None
-    assert world.run(20, lambda: contact.proofs == 1)
-    assert not holder.inventory.machines[worker.name].usable, "once may be chance"
+    assert world.run(20, lambda: tracker.proofs == 1)
+    assert not holder.inventory.machines[worker.name].usable, "one round trip must not be enough"
     assert world.run(10, lambda: holder.inventory.machines[worker.name].usable)
 
 
-# Late copies
+# Late copies of reports
 
 
 def test_late_report_copy_settles_nothing_after_node_restart():
-    """Found by random schedules: a copy from before the worker's restart named a later message, and lacked the task."""
+    """Found by random schedules: a copy from before the worker's restart had a higher number and lacked the task."""
     world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     worker.sequence += 100
@@ -98,19 +98,19 @@
         holder_of(world, worker).check_in(copy)
         world.run(2)
     known = holder_of(world, worker).worker_registry.workers[worker.name]
-    follows = orjson.loads(copy) | {"tally": known.reachability_tracker.newest[1] + 1}
-    holder_of(world, worker).check_in(orjson.dumps(follows))  # one that seems to be the very next message
+    next_report = orjson.loads(copy) | {"tally": known.reachability_tracker.newest[1] + 1}
+    holder_of(world, worker).check_in(orjson.dumps(next_report))  # a copy that looks like the next report in sequence
     world.run(2)
     assert world.running("j-1") == [("j-1/0", worker.name)]
     assert world.broken == []
 
 
-def test_late_copy_revives_no_machine_that_was_returned():
+def test_late_report_copy_does_not_revive_returned_machine():
     world = ready_world(machines=4, capacity=4)
     worker = workers(world)[0]
     copy = report_copy(worker)
     world.cloud.handle("POST", "/rentals/return", {"holdfasts": [worker.name]})
-    for name in list(world.nodes):  # nodes that remember nothing
+    for name in list(world.nodes):  # restarted nodes have no state of the machine
         world.kill_node(name)
         world.start_node(name)
     world.store.data = {k: v for k, v in world.store.data.items() if not k.startswith("l/machine/")}
@@ -133,60 +133,66 @@
     known = holder.worker_registry.workers[worker.name]
     worker.partitioned = True
     world.run(3)
-    answered, proved = known.lease_renewed_at, known.reachability_tracker.proved_at
+    lease_renewed_at, proved_at = known.lease_renewed_at, known.reachability_tracker.proved_at
     assert holder.check_in(copy)[0] == 503
-    assert (known.lease_renewed_at, known.reachability_tracker.proved_at) == (answered, proved)
+    assert (known.lease_renewed_at, known.reachability_tracker.proved_at) == (lease_renewed_at, proved_at)
 
 
-# A worker that is back at once
+# Workers that restart at once
 
 
-@pytest.mark.parametrize("forgetful", [False, True])
-def test_restarted_worker_is_told_from_copy_by_probe(forgetful):
+@pytest.mark.parametrize("restart_holder", [False, True])
+def test_restarted_worker_is_told_from_copy_by_probe(restart_holder):
     world = ready_world(machines=3, capacity=3)
     world.submit("j-1", 2, run_s=30.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     worker = worker_of(world, "j-1/0")
-    worker.session = 5  # as if its lease had ended a few times before
+    worker.session = 5  # as after several ends of its lease
     world.run(10)
     worker.restart()
-    if forgetful:
+    if restart_holder:
         name = holder_of(world, worker).platform.node
         world.kill_node(name)
         world.start_node(name)
     assert world.run(120, lambda: world.poll("j-1") == "done")
     assert world.broken == []
-    assert worker.name in world.cloud.machines, "it was not given up for its silence"
+    assert worker.name in world.cloud.machines, "the machine of the restarted worker was returned"
 
 
-# The decision itself
+# The reachability tracker
 
 
 def test_reachability_tracker_trusts_round_trips():
-    contact = ReachabilityTracker(seconds(2))
-    assert contact.on_report((1, 1), seconds(0)) is Evidence.CLAIM, "the first report may be a copy"
-    assert contact.on_response((1, 2), (1, 1), seconds(0)) == (Evidence.PROOF, False)
-    assert contact.on_report((1, 3), seconds(2)) is Evidence.SUCCESSOR, "its number is the one behind our answer"
-    assert not contact.needs_probe(seconds(2)), "it stayed, so it had our answer"
-    assert contact.on_report((1, 5), seconds(8)) is Evidence.CLAIM
-    assert contact.needs_probe(seconds(8)), "it has been elsewhere meanwhile"
-    assert contact.on_report((1, 4), seconds(9)) is Evidence.STALE
-    assert contact.on_response((1, 4), (1, 5), seconds(9)) == (Evidence.PROOF, True), "asked now, it counts from before"
-    assert contact.on_report((1, 6), seconds(9)) is Evidence.STALE, "copies of its life before may count higher"
+    tracker = ReachabilityTracker(seconds(2))
+    assert tracker.on_report((1, 1), seconds(0)) is Evidence.CLAIM, "the first report may be a copy"
+    assert tracker.on_response((1, 2), (1, 1), seconds(0)) == (Evidence.PROOF, False)
+    assert tracker.on_report((1, 3), seconds(2)) is Evidence.SUCCESSOR, (
+        "its sequence number follows the one of our response"
+    )
+    assert not tracker.needs_probe(seconds(2)), "the worker stayed with this node, so it received our response"
+    assert tracker.on_report((1, 5), seconds(8)) is Evidence.CLAIM
+    assert tracker.needs_probe(seconds(8)), "the gap in the numbers shows that it reported elsewhere"
+    assert tracker.on_report((1, 4), seconds(9)) is Evidence.STALE
+    assert tracker.on_response((1, 4), (1, 5), seconds(9)) == (Evidence.PROOF, True), (
+        "the probe response shows a restarted count"
+    )
+    assert tracker.on_report((1, 6), seconds(9)) is Evidence.STALE, (
+        "copies from before the restart may have higher numbers"
+    )
 
 
 def test_reachability_tracker_has_hysteresis():
-    contact = ReachabilityTracker(seconds(2))
-    contact.on_response((1, 1), (0, 0), seconds(0))
-    contact.on_no_response()
-    assert contact.reachability is Reachability.REACHABLE
-    contact.on_no_response()
-    assert contact.reachability is Reachability.UNREACHABLE and contact.presumed_unreachable
-    contact.on_response((1, 2), (1, 1), seconds(5))
-    contact.on_response((1, 3), (1, 2), seconds(6))
-    assert contact.reachability is Reachability.UNREACHABLE and not contact.presumed_unreachable
-    contact.on_response((1, 4), (1, 3), seconds(7))
-    assert contact.reachability is Reachability.REACHABLE
+    tracker = ReachabilityTracker(seconds(2))
+    tracker.on_response((1, 1), (0, 0), seconds(0))
+    tracker.on_no_response()
+    assert tracker.reachability is Reachability.REACHABLE
+    tracker.on_no_response()
+    assert tracker.reachability is Reachability.UNREACHABLE and tracker.presumed_unreachable
+    tracker.on_response((1, 2), (1, 1), seconds(5))
+    tracker.on_response((1, 3), (1, 2), seconds(6))
+    assert tracker.reachability is Reachability.UNREACHABLE and not tracker.presumed_unreachable
+    tracker.on_response((1, 4), (1, 3), seconds(7))
+    assert tracker.reachability is Reachability.REACHABLE
 
 
 def test_one_way_loss_is_logged_as_unreachable(caplog):
@@ -200,11 +206,14 @@
     assert f"worker {worker.name} is unreachable: requests to it get no response" in caplog.messages
 
 
-# Each of these stands for a guard that was taken out once, and that nothing else noticed
+# Each test covers a check whose removal no other test detected
 
 
 def unreachable_machine_with_task(world):
-    """A machine that hears nothing, with a task, while nobody returns it; and its holder's worker."""
+    """Make the machine of a running task unreachable and prevent its return.
+
+    Returns the stand-in of its worker, its holder, and the holder's entry for the worker.
+    """
     world.submit("j-1", run_s=100.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     worker = worker_of(world, "j-1/0")
@@ -216,29 +225,33 @@
     return worker, holder, known
 
 
-def test_machine_that_hears_nothing_is_told_no_200_and_its_lease_ends_though_its_reports_go_on():
+def test_unreachable_machine_gets_no_200_and_its_lease_ends():
     world = ready_world(machines=3, capacity=3)
     worker, holder, known = unreachable_machine_with_task(world)
-    worker.step = lambda: None  # its reports are this trace's from here on
-    answered = known.lease_renewed_at
-    ended = answered + world.times.lease * 1.001 + seconds(1)
-    while world.clock.now < ended - seconds(1):
+    worker.step = lambda: None  # from here on, only this test sends its reports
+    renewed_at = known.lease_renewed_at
+    lease_ended_by = renewed_at + world.times.lease * 1.001 + seconds(1)
+    while world.clock.now < lease_ended_by - seconds(1):
         world.run(0.9)
         assert holder.check_in(report_copy(worker))[0] == 503
-        assert holder.job_index.jobs["j-1"].placed_count() == 1, "its lease may not have ended"
-    assert known.lease_renewed_at == answered
-    assert world.run(3, lambda: world.clock.now > ended and holder.job_index.placement(TaskId("j-1", 0)) is None)
+        assert holder.job_index.jobs["j-1"].placed_count() == 1, (
+            "the task was settled before the lease had certainly ended"
+        )
+    assert known.lease_renewed_at == renewed_at
+    assert world.run(
+        3, lambda: world.clock.now > lease_ended_by and holder.job_index.placement(TaskId("j-1", 0)) is None
+    )
 
 
-def test_copy_of_an_older_report_gets_no_200_though_its_worker_reports_on():
+def test_late_copy_gets_no_200_while_worker_reports():
     world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     world.run(4)
     copy = report_copy(worker)
     holder = holder_of(world, worker)
-    number = holder.worker_registry.workers[worker.name].reachability_tracker.newest
-    assert world.run(5, lambda: holder.worker_registry.workers[worker.name].reachability_tracker.newest > number)
-    assert holder.check_in(copy)[0] == 200, "the worker may still wait for it"
+    newest = holder.worker_registry.workers[worker.name].reachability_tracker.newest
+    assert world.run(5, lambda: holder.worker_registry.workers[worker.name].reachability_tracker.newest > newest)
+    assert holder.check_in(copy)[0] == 200, "the worker may still wait for this response"
     world.run(5)
     assert holder.check_in(copy)[0] == 503
 
@@ -250,12 +263,14 @@
     worker.session = 7
     copy = report_copy(worker)
     worker.session = 1
-    asked = []
-    holder.worker_registry.probe = lambda machine, address: asked.append(address)
+    probed = []
+    holder.worker_registry.probe = lambda machine, address: probed.append(address)
     worker.sequence += 1
     holder.check_in(copy)
-    assert holder.worker_registry.workers[worker.name].session == 1, "a launch would name a session that never was"
-    assert asked == [worker.address]
+    assert holder.worker_registry.workers[worker.name].session == 1, (
+        "the holder believed a session that never existed, and a start would name it"
+    )
+    assert probed == [worker.address]
 
 
 def test_task_of_session_unknown_to_new_holder_is_settled():
@@ -270,7 +285,7 @@
     worker.restart()
     for name in world.node_names:
         world.start_node(name)
-    assert world.run(20, lambda: world.running("j-1") != []), "nobody asked it whether it was still there"
+    assert world.run(20, lambda: world.running("j-1") != []), "the new holder did not probe the worker about the task"
     assert world.broken == []
 
 
@@ -283,52 +298,52 @@
     known = holder.worker_registry.workers[worker.name]
     limit = world.times.report * 1.25 + seconds(1)
     worker.step = lambda: None
-    proved = known.reachability_tracker.proved_at
-    while world.clock.now <= proved + limit + seconds(1):
-        worker.sequence += 2  # as if it had been at another node between
+    proved_at = known.reachability_tracker.proved_at
+    while world.clock.now <= proved_at + limit + seconds(1):
+        worker.sequence += 2  # as if it had reported to another node in between
         holder.check_in(report_copy(worker))
         world.run(0.5)
     assert holder.inventory.machines[worker.name].state is MachineState.SILENT
-    holder.inventory.machines[worker.name].state = MachineState.UP  # as if its state were not known here
+    holder.inventory.machines[worker.name].state = MachineState.UP  # as if this node did not know that it is silent
     holder.worker_registry._changes.mark_changed(worker.name)
     assert worker.name not in {v.name for v in holder.holder_scheduler._view_cache.fresh()}
 
 
 def test_late_report_with_probe_response_is_not_silent(caplog):
-    """Nine tenths of a log were machines that were silent for some milliseconds, until they answered."""
+    """Nine tenths of a log were machines that became silent for some milliseconds, until their probe response came."""
     world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     machine = holder_of(world, worker).inventory.machines[worker.name]
     caplog.set_level("INFO")
-    written = [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")]
+    machine_entries = [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")]
     worker.next_report = world.clock.now + seconds(60)
     assert not world.run(20, lambda: machine.state is not MachineState.UP)
     assert not any("silent" in line for line in caplog.messages)
-    assert [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")] == written
+    assert [entry for key, entry in world.store.data.items() if key.startswith("l/machine/")] == machine_entries
     worker.partitioned = True
     assert world.run(5, lambda: machine.state is MachineState.SILENT)
     assert f"machine {worker.name} (box, a): up -> silent, no report, and no answer" in caplog.messages
 
 
 def test_probe_in_progress_counts_as_no_response():
-    """A neighbour's answer says whether a zone is cut: nobody may take a question for one."""
+    """A neighbour's probe response shows whether a zone is partitioned; a probe in progress must not count as one."""
     world = ready_world(machines=3, capacity=3)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
-    request, found = holder.worker_registry._request, []
+    request, results = holder.worker_registry._request, []
 
-    def ask_meanwhile(machine, *args):
-        found.append(holder.worker_registry.probe(machine, worker.address))
-        found.append(holder.machine_monitor._looks_partitioned(worker.zone))
+    def probe_meanwhile(machine, *args):
+        results.append(holder.worker_registry.probe(machine, worker.address))
+        results.append(holder.machine_monitor._looks_partitioned(worker.zone))
         return request(machine, *args)
 
-    holder.worker_registry._request = ask_meanwhile
+    holder.worker_registry._request = probe_meanwhile
     assert holder.worker_registry.probe(worker.name, worker.address) is True
-    assert found == [None, True]
+    assert results == [None, True]
 
 
 def test_probe_settles_nothing_while_report_response_may_start_task():
-    """Seen on a bench day: the question's answer overtook the report's, the task was settled, and then it started."""
+    """Seen in a bench run: a probe response overtook a report's response; the task was settled, and then it started."""
     world = ready_world(machines=1, capacity=1)
     worker = workers(world)[0]
     holder = holder_of(world, worker)
@@ -340,7 +355,7 @@
         node.watch_store()
     worker.token = holder.blocks.own_token(worker.zone)
     status, answer = holder.check_in(report_copy(worker))
-    assert status == 200 and b"run" in answer, "this answer is under way"
+    assert status == 200 and b"run" in answer, "the report's response does not start the task"
     placement = next(holder.job_index.placements())
     holder.worker_registry.stop(placement, seconds(0), "a trace")
     holder.worker_registry.workers[worker.name].uncertain_token = 0
@@ -348,4 +363,4 @@
     assert holder.job_index.jobs["j-1"].placed_count() == 1 and placement.phase is not Phase.SETTLED
     world.clock.now += seconds(5)
     holder.worker_registry.probe(worker.name, worker.address)
-    assert placement.phase is Phase.SETTLED, "the worker has given that answer up"
+    assert placement.phase is Phase.SETTLED, "the worker has stopped waiting for that response"
