--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
-"""Seeded soak runs on the simulated world; `make soak SEEDS=10000:11000 MINUTES=10 PROCESSES=4` plays many.
+"""Seeded soak runs on the simulated world; `make soak SEEDS=10000:11000 MINUTES=10 PROCESSES=4` runs many seeds.
 
-A seed is either a random schedule of faults with interleaved exchanges, or a deployment whose controllers end and
-return again and again, for longer than a lease too, while work goes on.  Prints each seed that is not clean.
+A seed is either a random schedule of faults with interleaved exchanges, or a deployment whose controllers are killed
+and restarted repeatedly while jobs run, with downtimes up to twice a lease.  Prints each seed that is not clean.
 """
 
 import argparse
@@ -14,27 +14,27 @@
 
 from kelpjunction.lab.world import World, seconds
 
-ABSENCES_S = (0.1, 1.0, 4.0, 17.0, 30.0)  # how long controllers are away: a lease is 15 s
+DOWNTIMES_S = (0.1, 1.0, 4.0, 17.0, 30.0)  # how long controllers are down; a lease is 15 s
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What a seed left behind; clean if nothing."""
+    """The faults found in the run of one seed; the seed is clean if there are none."""
 
     seed: int
     broken: list[str] = field(default_factory=list)
     open: list[str] = field(default_factory=list)  # accepted jobs that should have ended
-    idle: list[str] = field(default_factory=list)  # that wait beside room for them
-    forgotten: list[str] = field(default_factory=list)
+    idle: list[str] = field(default_factory=list)  # jobs that wait although there is capacity for them
+    forgotten: list[str] = field(default_factory=list)  # jobs with unanswered polls
     contradictions: list[str] = field(default_factory=list)
 
     @classmethod
     def of(cls, seed: int, world: World) -> "SeedResult":
-        told = {ref for ref, state in world.last_told_state.items() if state == "accepted"}
+        accepted = {ref for ref, state in world.last_told_state.items() if state == "accepted"}
         return cls(
             seed,
             world.broken,
-            sorted(ref for ref in told if world.jobs[ref]["shape"] != "service"),
+            sorted(ref for ref in accepted if world.jobs[ref]["shape"] != "service"),
             sorted(world.starvation_check.starved_jobs),
             sorted(world.service_level_tracker.unanswered_jobs),
             [str(event) for event in world.contradictions],
@@ -46,12 +46,12 @@
 
 
 def play_schedule(seed: int) -> SeedResult:
-    """A random schedule of faults, its exchanges interleaved."""
+    """Play a random schedule of faults with interleaved exchanges."""
     return SeedResult.of(seed, FaultSchedule(seed, interleaved=True).play(lambda world: None))
 
 
 def play_restarts(seed: int, rounds: int = 20) -> SeedResult:
-    """Controllers end, one or all, and return; workers' sessions end meanwhile, and their reports find other nodes."""
+    """Kill and restart one or all controllers; workers' sessions end meanwhile, and their reports reach other nodes."""
     world = World(seed=seed, machines=12, capacity=15, interleaved=True)
     random = world.random
     world.run(5)
@@ -64,12 +64,12 @@
         world.submit(ref, random.randint(1, 8), **fields)
         if random.random() < 0.2:
             world.abort(random.choice(sorted(world.jobs)))
-        absent = random.choice([world.node_names, random.sample(world.node_names, 1)])
-        for name in absent:
+        down_nodes = random.choice([world.node_names, random.sample(world.node_names, 1)])
+        for name in down_nodes:
             world.kill_node(name)
             world.run(random.uniform(0, 1))
-        world.run(random.choice(ABSENCES_S))
-        for name in absent:
+        world.run(random.choice(DOWNTIMES_S))
+        for name in down_nodes:
             world.start_node(name)
             world.run(random.uniform(0, 2))
         world.run(random.uniform(1, 15))
@@ -78,13 +78,13 @@
     _recover(world)
     for ref, job in sorted(world.jobs.items()):
         if job["shape"] == "service":
-            world.abort(ref)  # what they fill is for the rest, which is to end
+            world.abort(ref)  # frees capacity so that all other jobs can end
     _recover(world)
     return SeedResult.of(seed, world)
 
 
 def _recover(world: World, duration: float = 200.0) -> None:
-    """Let time pass without troubles, while users go on asking."""
+    """Run the world for `duration` seconds without faults, while users go on polling."""
     until = world.clock.now + seconds(duration)
     while world.clock.now < until:
         world.run(5)
@@ -93,31 +93,31 @@
 
 
 def play_seed(seed: int) -> SeedResult:
-    """One seed of the long run: each tenth plays restarts."""
+    """Play one seed of the soak: every tenth seed plays restarts."""
     return play_restarts(seed) if seed % 10 == 0 else play_schedule(seed)
 
 
 def main() -> int:
-    """Play the seeds until they or the minutes are used up; exit code 1 if one was not clean."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--seeds", default="10000:11000", help="first and one past the last, FIRST:END")
-    options.add_argument("--minutes", type=float, default=10.0, help="no seed begins after this")
-    options.add_argument("--processes", type=int, default=2)
-    given = options.parse_args()
-    first, end = (int(part) for part in given.seeds.split(":"))
-    stop_at = time.monotonic() + 60 * given.minutes
+    """Play the seeds until all are played or the time is up; returns exit code 1 if one was not clean."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seeds", default="10000:11000", help="first and one past the last, FIRST:END")
+    parser.add_argument("--minutes", type=float, default=10.0, help="no seed begins after this")
+    parser.add_argument("--processes", type=int, default=2)
+    arguments = parser.parse_args()
+    first, end = (int(part) for part in arguments.seeds.split(":"))
+    stop_at = time.monotonic() + 60 * arguments.minutes
     outcomes: list[SeedResult] = []
-    with ProcessPoolExecutor(given.processes) as pool:
-        waiting = [pool.submit(play_seed, seed) for seed in range(first, end)]
-        for done in as_completed(waiting):
-            if done.cancelled():
+    with ProcessPoolExecutor(arguments.processes) as pool:
+        futures = [pool.submit(play_seed, seed) for seed in range(first, end)]
+        for future in as_completed(futures):
+            if future.cancelled():
                 continue
-            outcomes.append(done.result())
+            outcomes.append(future.result())
             if not outcomes[-1].clean:
                 print(outcomes[-1], flush=True)
             if time.monotonic() > stop_at:
-                for one in waiting:
-                    one.cancel()
+                for pending in futures:
+                    pending.cancel()
     unclean = [outcome.seed for outcome in outcomes if not outcome.clean]
     print(f"{len(outcomes)} of {end - first} seeds played, {len(unclean)} not clean: {sorted(unclean)}")
     return 1 if unclean else 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: the same seeds on every run.  `make soak` plays others, for as long as it is told to."""
+"""A short soak with the same seeds on every run; `make soak` plays other seeds, for a given time."""
 
 import pytest
 from soak import SeedResult, play_restarts, play_schedule
@@ -10,5 +10,5 @@
 
 
 @pytest.mark.parametrize("seed", [700, 701, 702, 703, 704, 721, 741])
-def test_controllers_that_end_and_return_again_and_again(seed):
+def test_repeated_controller_restarts(seed):
     assert play_restarts(seed) == SeedResult(seed)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -1,10 +1,10 @@
-"""What many traces begin with."""
+"""Helpers shared by tests on the simulated world."""
 
 from kelpjunction.lab.world import World
 
 
 def ready_world(machines: int = 6, **kwargs) -> World:
-    """A world whose nodes have settled in."""
+    """A world that has run for 5 s and has a leader."""
     world = World(machines=machines, **kwargs)
     world.run(5)
     assert world.leader() is not None
@@ -12,13 +12,13 @@
 
 
 def fault_on_path(path_and_fault: str):
-    """A filter that gives each request to a path one fate, and lets the rest through."""
-    path, fate = path_and_fault.split(" ", 1)
-    return lambda source, target, at: fate if at == path else None
+    """A filter that applies one fault to each request to a path, such as "/commit held", and passes all others."""
+    path, fault = path_and_fault.split(" ", 1)
+    return lambda source, target, requested_path: fault if requested_path == path else None
 
 
 def worker_of(world: World, task_ref: str):
-    """The worker that runs a task."""
+    """The stand-in of the worker that runs a task."""
     machine = dict(world.running())[task_ref]
     return world.cloud.machines[machine][0]
 
@@ -28,7 +28,7 @@
 
 
 def dispatch_without_start(world: World, ref: str):
-    """Let the leader hand a job over while no holder starts anything; returns the holder and its rounds."""
+    """Let the leader dispatch a job while no holder runs rounds; returns the holder and its round method."""
     rounds = {name: node.holder_scheduler.round for name, node in world.nodes.items()}
     for node in world.nodes.values():
         node.holder_scheduler.round = lambda: False
