--- a/tests/test_concurrent_users.py
+++ b/tests/test_concurrent_users.py
@@ -1,4 +1,4 @@
-"""Users who ask everywhere at once, repeat, send nonsense, or call off what is just ending."""
+"""Users who poll all nodes at once, repeat submissions, send invalid ones, or cancel a job that is just ending."""
 
 import orjson
 import pytest
@@ -8,7 +8,7 @@
 from kelpjunction.lab.world import World
 from kelpjunction.settings import Team
 
-GOOD = {
+VALID_SUBMISSION = {
     "ref": "j-1", "stripe": "s", "crew": "red", "shape": "batch", "urgency": "low", "fronds": 3, "cpus": 2.0,
     "accelerators": 0.0, "ram_gb": 4.0, "bundle": "img", "image_gb": 1.0, "expect_s": 10.0, "mark_s": 0.0,
     "stow_s": 0.0, "together": False, "apart": False, "driftwood": False,
@@ -16,36 +16,40 @@
 
 
 def stop_following(world: World, *names: str) -> None:
-    """Let nodes hear no news: their copies stay as they are until they are read anew."""
+    """Stop the watches of some nodes: their mirrors keep their state until keys are read again."""
     for name in names:
         world.nodes[name].mirror.watch_once = lambda: None
 
 
-def others(world: World, name: str) -> list[str]:
+def other_nodes(world: World, name: str) -> list[str]:
     return [n for n in world.node_names if n != name]
 
 
-# Close looks
+# Polls of all nodes at once
 
 
-def test_all_nodes_know_a_job_within_milliseconds_of_its_acceptance():
+def test_all_nodes_know_job_right_after_acceptance():
     world = ready_world()
     stop_following(world, *world.node_names)
     assert world.submit("j-1", node="holdfast-0") == 201
-    assert all(world.nodes[n].mirror.get("l/job/j-1") is None for n in others(world, "holdfast-0")), "no news yet"
+    assert all(world.nodes[n].mirror.get("l/job/j-1") is None for n in other_nodes(world, "holdfast-0")), (
+        "another mirror has the job already"
+    )
     for _ in range(3):
         assert world.ask_all_nodes("j-1") == ["pending"] * 3
     assert world.broken == []
 
 
-def test_all_nodes_call_a_job_cancelled_within_milliseconds_of_the_confirmation():
+def test_all_nodes_report_job_cancelled_right_after_confirmation():
     world = ready_world()
     world.submit("j-1", 2, run_s=60.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
     stop_following(world, *world.node_names)
     assert world.abort("j-1", node="holdfast-1") == 200
     records = [n.mirror.get("l/job/j-1").value for n in world.nodes.values()]
-    assert [bool(r.get("cancelled")) for r in records] == [False, True, False], "no news yet"
+    assert [bool(r.get("cancelled")) for r in records] == [False, True, False], (
+        "another mirror has the cancellation already"
+    )
     assert world.ask_all_nodes("j-1") == ["withdrawn"] * 3
     assert all(world.abort("j-1", node=name) == 200 for name in world.node_names)
     assert set(world.last_told_state.values()) == {"withdrawn"}
@@ -54,7 +58,7 @@
 
 @pytest.mark.parametrize("end", ["done", "withdrawn"])
 def test_all_nodes_report_end_before_mirrors_catch_up(end):
-    """Who ended it knows; all others hold the job's record still, or miss both."""
+    """The node that ended the job knows its end; the mirrors of the others still have its record, or neither."""
     world = ready_world()
     world.submit("j-1", 2, run_s=3.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 2)
@@ -69,7 +73,7 @@
         )
     assert world.run(10, lambda: "e/j-1" in world.store.data)
     stale = [n for n in world.node_names if world.nodes[n].mirror.get("l/job/j-1") is not None]
-    assert ended and set(stale) <= set(others(world, ended[0])), "others hold the record that is gone"
+    assert ended and set(stale) <= set(other_nodes(world, ended[0])), "the node that ended the job still has its record"
     assert world.ask_all_nodes("j-1") == [end] * 3
     assert world.abort("j-1", node=stale[0] if stale else None) == 200
     assert world.last_told_state["j-1"] == end
@@ -77,20 +81,20 @@
 
 
 def test_status_verified_before_cancellation_is_not_sent_after():
-    """Two questions at one node: the one that was compared first waits for its turn while the job ends."""
+    """Two requests at one node: the job is cancelled after a status was verified and before it is sent."""
     world = ready_world()
     world.submit("j-1", run_s=60.0)
     assert world.run(10, lambda: world.running("j-1") != [])
     node = world.nodes["holdfast-0"]
-    holds = node.verifier.versions_current
+    versions_current = node.verifier.versions_current
 
-    def slowly(guards):
-        held = holds(guards)
-        node.verifier.versions_current = holds
+    def verify_then_cancel(guards):
+        current = versions_current(guards)
+        node.verifier.versions_current = versions_current
         assert world.abort("j-1", node="holdfast-0") == 200
-        return held
+        return current
 
-    node.verifier.versions_current = slowly
+    node.verifier.versions_current = verify_then_cancel
     assert world.poll("j-1", node="holdfast-0") == "withdrawn"
     assert world.broken == []
 
@@ -111,7 +115,7 @@
 
 
 def test_store_requests_per_polled_job_are_bounded():
-    """Four jobs a second, each looked at on all nodes when it is accepted and when it is done."""
+    """Four jobs a second, each polled on all nodes when it is accepted and when it is done."""
     world = ready_world(machines=9, capacity=9)
     before = sum(n.store.requests for n in world.nodes.values())
     world.run(10)
@@ -123,12 +127,12 @@
         world.run(0.25)
     world.run(5)
     assert {world.ask_all_nodes(f"j-{n}")[0] for n in range(40)} == {"done"}
-    each = (sum(n.store.requests for n in world.nodes.values()) - before - idle * 1.5) / 40
-    assert each < 40, "two looks of six questions, and what runs the job"
+    requests_per_job = (sum(n.store.requests for n in world.nodes.values()) - before - idle * 1.5) / 40
+    assert requests_per_job < 40, "more store requests than two polls of six requests and running the job need"
     assert world.broken == []
 
 
-# A cancellation, a question or a repeat meets the end of the last task
+# A cancellation, a poll or a repeat at the end of the last task
 
 
 @pytest.mark.parametrize("shape", ["batch", "ensemble"])
@@ -140,26 +144,26 @@
     assert world.run(20, lambda: world._unfinished("j-1") == [] and {"j-1/0", "j-1/1"} <= world.finished)
     if offset:
         world.run(offset)
-    asked = [world.abort("j-1", node=name) for name in world.node_names]
-    first = world.last_told_state["j-1"]
-    assert 200 in asked and first in ("done", "withdrawn")
+    statuses = [world.abort("j-1", node=name) for name in world.node_names]
+    final_state = world.last_told_state["j-1"]
+    assert 200 in statuses and final_state in ("done", "withdrawn")
     for _ in range(30):
-        assert set(world.ask_all_nodes("j-1")) <= {first, None}
+        assert set(world.ask_all_nodes("j-1")) <= {final_state, None}
         world.run(1)
     for name in world.node_names:
         world.kill_node(name)
         world.start_node(name)
-    assert world.run(20, lambda: world.poll("j-1") == first)
+    assert world.run(20, lambda: world.poll("j-1") == final_state)
     assert world.broken == []
 
 
-# Odd requests
+# Invalid requests
 
 
 @pytest.mark.parametrize(
     ("change", "status", "named"),
     [
-        *[({name: None}, 400, name) for name in GOOD if name != "ref"],
+        *[({name: None}, 400, name) for name in VALID_SUBMISSION if name != "ref"],
         ({"ref": "k-1"}, 400, "ref"), ({"ref": 7}, 400, "ref"), ({"fronds": True}, 400, "fronds"),
         ({"fronds": 2.5}, 400, "fronds"), ({"fronds": 10**9}, 400, "fronds"), ({"fronds": -1}, 400, "fronds"),
         ({"cpus": True}, 400, "cpus"), ({"cpus": -1.0}, 400, "cpus"), ({"cpus": 1e300}, 400, "cpus"),
@@ -180,7 +184,7 @@
 )  # fmt: skip
 def test_invalid_submission_is_refused_by_every_node(change, status, named):
     world = ready_world()
-    fields = {k: v for k, v in (GOOD | change).items() if v is not None}
+    fields = {k: v for k, v in (VALID_SUBMISSION | change).items() if v is not None}
     for name in world.node_names:
         for _ in range(2):
             answer = world.nodes[name].intake.submit(orjson.dumps(fields))
@@ -189,7 +193,7 @@
     assert world.submit("j-1", 3, urgency="low") == 201
     for name in world.node_names:
         again = orjson.dumps(fields | {"ref": "j-1"})
-        assert world.nodes[name].intake.submit(again).status == 200, "a repeat of what was accepted is never refused"
+        assert world.nodes[name].intake.submit(again).status == 200, "a repeat of an accepted submission was refused"
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"7", b"{", b'{"cpus": NaN}', b'{"ref": "j-1", "cpus": 1e999}', b"\xff"])
@@ -197,7 +201,7 @@
     assert ready_world().nodes["holdfast-0"].intake.submit(body).status == 400
 
 
-def test_one_task_that_is_larger_than_its_teams_limit_can_never_run():
+def test_task_larger_than_team_limit_is_refused():
     world = ready_world(teams=(Team("red", 2.0, 0.0, 4.0, None),))
     assert world.submit("j-1", cpus=4.5) == 422
     assert world.submit("j-2", 9, cpus=4.0) == 201
@@ -207,7 +211,7 @@
 
 
 @pytest.mark.parametrize("changes", [30, 100])
-def test_a_stream_of_small_jobs_a_quarter_cancelled_leaves_nothing_behind(changes):
+def test_stream_of_small_jobs_with_cancellations_leaves_no_records(changes):
     world = ready_world(machines=9, capacity=9, store=store_limits_for_rate(changes))
     before = world.store.applied_changes
     refs = []
@@ -219,13 +223,13 @@
             world.run_after(0.1 + n % 7, lambda ref=ref: ref in world.last_told_state and world.abort(ref))
         world.run(0.25)
     assert world.run(60, lambda: not [k for k in world.store.data if k.startswith(("l/job/", "l/run/", "l/sum/"))])
-    told = {}
+    final_states = {}
     for ref in (r for r in refs if r in world.last_told_state):
-        told[ref] = world.poll(ref)
-        world.run(0.1)  # as many questions a second as the service has room for
-    assert len(told) > 220 and {*told.values()} == {"done", "withdrawn"}
+        final_states[ref] = world.poll(ref)
+        world.run(0.1)  # as many polls a second as the state service has capacity for
+    assert len(final_states) > 220 and {*final_states.values()} == {"done", "withdrawn"}
     assert world.running() == []
     pages = [v for k, (v, *_) in world.store.data.items() if k.startswith(("l/over/", "l/hand/"))]
-    assert sum(len(page) for page in pages) < 120, "rows of ended jobs leave when their page is written anew"
-    assert (world.store.applied_changes - before) / len(told) < 7
+    assert sum(len(page) for page in pages) < 120, "rows of ended jobs were kept when their page was written again"
+    assert (world.store.applied_changes - before) / len(final_states) < 7
     assert world.broken == []
--- a/tests/test_isolated_node.py
+++ b/tests/test_isolated_node.py
@@ -1,4 +1,4 @@
-"""A node that is cut off from the state service and its siblings, and processes that are back at once."""
+"""Nodes isolated from the state service and their siblings, and nodes that restart at once."""
 
 import orjson
 import pytest
@@ -24,23 +24,23 @@
     assert world.run(10, lambda: len(world.running()) == 12)
     leader = world.leader_name()
     others = [n for n in world.node_names if n != leader]
-    cut = {"the leader": [leader], "two of three": others}.get(who, others[:1])
+    isolated = {"the leader": [leader], "two of three": others}.get(who, others[:1])
     before = sessions(world)
-    isolate(world, *cut)
+    isolate(world, *isolated)
     if who == "one while another is rolled":
         world.run(3)
         world.kill_node(others[1])
         world.run_after(4.0, lambda: world.start_node(others[1]))
-    free = [n for n in world.node_names if n not in cut]
+    connected = [n for n in world.node_names if n not in isolated]
     assert world.run(
-        12, lambda: {g.holder for n in free if world.nodes[n] for g in grants_known_to(world, n)} <= set(free)
+        12, lambda: {g.holder for n in connected if world.nodes[n] for g in grants_known_to(world, n)} <= set(connected)
     )
     world.run(6)
-    assert world.submit("j-3", 3, run_s=5.0, node=free[0]) == 201
+    assert world.submit("j-3", 3, run_s=5.0, node=connected[0]) == 201
     world.run(20)
     isolate(world)
     world.run(20)
-    assert sessions(world) == before, "no lease ended"
+    assert sessions(world) == before, "the lease of a worker ended"
     assert len(world.running("j-1")) == 6
     assert [world.poll("j-2"), world.poll("j-3")] == ["done", "done"]
     assert world.broken == []
@@ -51,20 +51,22 @@
 
 
 def test_isolated_holder_releases_block_workers_after_higher_token_seen():
-    """Each of them waited for its own sign before: a command of the new holder to it."""
+    """Regression: each worker left the isolated holder only after a command of the new holder to that worker."""
     world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
     zone = world.nodes[name].blocks.held_zones()[0]
     isolate(world, name)
     new = {n for n in world.node_names if n != name}
     assert world.run(10, lambda: all(world.nodes[n].blocks.holder(zone) in new for n in new))
-    theirs = [w for w, _ in world.cloud.machines.values() if w.zone == zone]
-    assert world.run(4, lambda: all(f"holdfast-{w.node}" in new for w in theirs)), "long before the grace has passed"
+    block_workers = [w for w, _ in world.cloud.machines.values() if w.zone == zone]
+    assert world.run(4, lambda: all(f"holdfast-{w.node}" in new for w in block_workers)), (
+        "workers stayed with the isolated node until its grace period had passed"
+    )
     assert world.nodes[name].leadership.can_renew_leases()
 
 
-def test_lone_node_leaves_the_load_balancer_once_a_worker_proves_it_alone():
-    """It has no sibling to ask, and its users got nothing but 503 for as long as the cut lasted."""
+def test_isolated_node_is_unhealthy_once_a_worker_proves_it():
+    """The load balancer must drop it: it can't ask its siblings, and its users got only 503 while it was isolated."""
     world = ready_world(machines=9, capacity=9)
     name = world.leader_name()
     isolate(world, name)
@@ -75,7 +77,9 @@
     assert world.nodes[name].intake.healthy()
     isolate(world, *world.node_names)
     world.run(8)
-    assert all(node.intake.healthy() for node in world.nodes.values()), "everybody's outage makes nobody leave"
+    assert all(node.intake.healthy() for node in world.nodes.values()), (
+        "an outage for all nodes must leave every node healthy"
+    )
 
 
 def test_isolated_node_answers_503_at_once():
@@ -84,19 +88,19 @@
     name = next(n for n in world.node_names if n != world.leader_name())
     isolate(world, name)
     world.run(5)
-    asked = world.clock.now
+    asked_at = world.clock.now
     assert world.submit("j-2", node=name) == 503
     assert world.poll("j-1", node=name) is None
-    assert world.clock.now == asked
+    assert world.clock.now == asked_at
 
 
-def test_everybodys_outage_ends_no_lease_before_the_grace_has_passed():
+def test_common_outage_ends_no_lease_within_grace_period():
     world = ready_world(machines=9, capacity=9)
     world.submit("j-1", 6, shape="service", urgency="prod")
     assert world.run(10, lambda: len(world.running()) == 6)
     before = sessions(world)
     world.store.outage(True)
-    world.cut_from_peers = set(world.node_names)  # nobody can tell whether it is alone
+    world.cut_from_peers = set(world.node_names)  # no node can tell whether it alone is cut off
     world.run(18)
     world.store.outage(False)
     world.cut_from_peers = set()
@@ -105,7 +109,7 @@
     assert world.broken == []
 
 
-# Back in a fraction of a second
+# Nodes that restart within a second
 
 
 @pytest.mark.parametrize("after", [0.0, 0.3, 0.9])
@@ -119,22 +123,24 @@
     world.kill_node(name)
     world.run(after)
     world.start_node(name)
-    began = world.clock.now
-    assert world.run(1.5, lambda: world.leader_name() == name), "it waited for the hold of the process before it"
-    assert world.clock.now - began < seconds(1.5)
+    started_at = world.clock.now
+    assert world.run(1.5, lambda: world.leader_name() == name), (
+        "the new process waited for the store lease of the old one"
+    )
+    assert world.clock.now - started_at < seconds(1.5)
     world.submit("j-1", run_s=3.0)
     assert world.run(20, lambda: world.poll("j-1") == "done")
     assert world.broken == []
 
 
-def test_late_commit_of_the_process_before_changes_nothing():
+def test_late_commit_of_previous_process_changes_nothing():
     world = ready_world()
     name = world.leader_name()
     world.late_request_delay_s = (3.0, 3.0)
     world.filter = lambda source, target, path: "held" if source == name and path == "/commit" else None
     world.submit("j-1", run_s=5.0, node=next(n for n in world.node_names if n != name))
     world.run(0.6)
-    assert world.late, "something of the old process is under way"
+    assert world.late, "no commit of the old process is in flight"
     world.kill_node(name)
     world.filter = lambda *_: None
     world.start_node(name)
@@ -143,53 +149,57 @@
     assert world.broken == []
 
 
-def test_node_that_ends_again_and_again_does_not_hold_the_others_up():
+def test_crash_looping_node_does_not_delay_others():
     world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
-    longest = seconds(0)
+    longest_wait = seconds(0)
     for number in range(33):  # for 20 s
         world.kill_node(name)
         world.run(0.3)
         world.start_node(name)
         world.run(0.3)
         if number % 8 == 4:
-            ref, asked = f"j-{number}", world.clock.now
+            ref, asked_at = f"j-{number}", world.clock.now
             world.submit(ref, 3, run_s=60.0, cpus=1.0, node=world.leader_name())
             assert world.run(10, lambda ref=ref: len(world.running(ref)) == 3)
-            longest = max(longest, world.clock.now - asked)
-    assert longest <= seconds(1), "its block lay with it in turn, and waited for its holds to end"
+            longest_wait = max(longest_wait, world.clock.now - asked_at)
+    assert longest_wait <= seconds(1), (
+        "the block went to the crash-looping node, and starts waited for its store leases to expire"
+    )
     assert world.broken == []
 
 
-# Guards that were taken out once, and that nothing else noticed
+# Each test covers a check whose removal no other test detected
 
 
 def test_higher_token_in_one_report_refuses_whole_block():
     world = ready_world(machines=9, capacity=9)
     node = world.leader()
     zone = node.blocks.held_zones()[0]
-    one, other = [w for w, _ in world.cloud.machines.values() if w.zone == zone][:2]
-    one.token = node.blocks.own_token(zone) + 1
-    assert node.check_in(orjson.dumps(one.report()))[0] == 503
-    assert node.check_in(orjson.dumps(other.report()))[0] == 503
+    newer_worker, older_worker = [w for w, _ in world.cloud.machines.values() if w.zone == zone][:2]
+    newer_worker.token = node.blocks.own_token(zone) + 1
+    assert node.check_in(orjson.dumps(newer_worker.report()))[0] == 503
+    assert node.check_in(orjson.dumps(older_worker.report()))[0] == 503
     node.blocks.issue_new_tokens([zone])
     node.blocks.issue_new_tokens([zone])
-    assert node.check_in(orjson.dumps(other.report()))[0] == 200, "it has the block under a higher token itself"
+    assert node.check_in(orjson.dumps(older_worker.report()))[0] == 200, (
+        "the node holds the block under a higher token itself"
+    )
 
 
 def test_campaign_fails_if_leader_key_changed():
     world = ready_world()
     name = world.leader_name()
     node = world.nodes[name]
-    lead = node.mirror.get(LEADER_KEY)
-    other = {"node": "holdfast-9", "term": lead.value["term"] + 1}
+    leader_entry = node.mirror.get(LEADER_KEY)
+    other = {"node": "holdfast-9", "term": leader_entry.value["term"] + 1}
     world.store.handle("POST", "/commit", {"guards": [], "then": [{"set": LEADER_KEY, "data": other}]})
     node.leadership._set_role(Role.FOLLOWER, "as one that forgot")
     node.leadership.run_once()
     assert world.store.data[LEADER_KEY][0] == other
 
 
-def test_blocks_are_given_to_a_node_that_ended_often_only_when_it_has_stayed():
+def test_crash_looping_node_gets_blocks_only_after_steady_uptime():
     world = ready_world(machines=9, capacity=9)
     name = next(n for n in world.node_names if n != world.leader_name())
     for _ in range(4):
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -1,4 +1,4 @@
-"""No accepted job is forgotten: it stays known, questions about it are answered, and it runs."""
+"""Accepted jobs are not lost: they stay known, polls about them are answered, and they run."""
 
 import pytest
 from test_write_rate_limiter import store_limits_for_rate
@@ -10,9 +10,9 @@
 from kelpjunction.store.mirror import Verifier
 
 
-def poll_all_jobs(world, refs: list[str], length: float) -> None:
+def poll_all_jobs(world, refs: list[str], duration: float) -> None:
     """Users poll each job every 5 s, none at the same moment as the others."""
-    for step in range(int(length * 10)):
+    for step in range(int(duration * 10)):
         world.run(0.1)
         for number, ref in enumerate(refs):
             if (step + number) % 50 == 0 and world.last_told_state.get(ref) == "accepted":
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize("changes", [5, 15, 30, 250])
-@pytest.mark.parametrize("trouble", ["outage", "roll", "loss of all nodes"])
-def test_every_poll_is_answered_once_faults_end(changes, trouble):
+@pytest.mark.parametrize("fault", ["outage", "roll", "loss of all nodes"])
+def test_every_poll_is_answered_once_faults_end(changes, fault):
     world = ready_world(machines=9, capacity=12, store=store_limits_for_rate(changes))
     refs = [f"j-{n}" for n in range(30)]
     for ref in refs:
@@ -29,10 +29,10 @@
             if world.submit(ref, 2, run_s=30.0, cpus=1.0, crew="blue") in (200, 201):
                 break
             world.run(1)
-    if trouble == "outage":
+    if fault == "outage":
         world.fault("outage", "", 12.0)
         poll_all_jobs(world, refs, 12)
-    elif trouble == "roll":
+    elif fault == "roll":
         for name in world.node_names:
             world.fault("kill", name, 3.0)
             poll_all_jobs(world, refs, 8)
@@ -49,14 +49,16 @@
 
 
 def test_job_with_lost_acceptance_response_runs():
-    """The commit was carried out, the answer lost, and the node died: the user's repeat finds it."""
+    """The commit was applied, its response lost, and the node died: the user's repeat must find the job."""
     world = ready_world()
     name = world.node_names[1]
     world.filter = lambda source, target, path: "answer lost" if (source, path) == (name, "/commit") else None
     assert world.submit("j-1", run_s=3.0, node=name) == 503
     world.filter = lambda *_: None
     world.kill_node(name)
-    assert world.run(20, lambda: any(f == "j-1/0" for f in world.starts)), "it runs though nobody asked again"
+    assert world.run(20, lambda: any(f == "j-1/0" for f in world.starts)), (
+        "the job must run without a repeated submission"
+    )
     assert world.submit("j-1", run_s=3.0) == 200
     assert world.run(20, lambda: world.poll("j-1") == "done")
 
@@ -75,10 +77,10 @@
     for node in world.nodes.values():
         put = node.mirror.put
 
-        def deaf(key, value, version, put=put):
+        def skip_job(key, value, version, put=put):
             return key != JOB_PREFIX + "j-1" and put(key, value, version)
 
-        node.mirror.put = deaf
+        node.mirror.put = skip_job
     world.submit("j-1", run_s=3.0)
     world.run(1)
     for node in world.nodes.values():
@@ -89,14 +91,14 @@
 
 
 def test_expired_comparisons_are_dropped():
-    """Where more was asked than can be compared, old questions were answered first and all came too late."""
-    served_world = ready_world()
+    """With more requests than could be compared, the oldest were served first, and all responses came too late."""
+    world = ready_world()
     waiting = []
-    store = next(iter(served_world.nodes.values())).store
+    store = next(iter(world.nodes.values())).store
     verifier = Verifier(store, waiting.append, lambda duration: None, 10.0)
     for n in range(500):
         with pytest.raises(StoreUnavailable):
             verifier.versions_current({f"l/job/j-{n}": 0}, timeout=ZERO)
     sent = store.requests
     waiting.pop()()
-    assert store.requests == sent, "nothing is left to be compared"
+    assert store.requests == sent, "expired comparisons were sent to the state service"
--- a/tests/test_paused_node.py
+++ b/tests/test_paused_node.py
@@ -1,11 +1,11 @@
-"""A node that stood still goes on with what it believed: nothing it does breaks a rule, and it blames nobody."""
+"""A paused node resumes with stale state: it must break no rule and return no machine."""
 
 import pytest
 from traces import dispatch_without_start, ready_world
 
 
-def test_holder_that_stood_still_blames_no_machine_and_is_fenced():
-    """Its own absence looks as if all its workers had fallen silent."""
+def test_paused_holder_returns_no_machine_and_is_fenced():
+    """To a node that was paused, all its workers look as if they had become silent."""
     world = ready_world()
     world.submit("j-1", 6, shape="service", urgency="prod", cpus=1.0)
     assert world.run(10, lambda: len(world.running("j-1")) == 6)
@@ -19,12 +19,13 @@
     assert world.broken == []
 
 
-def test_holder_that_stood_still_in_an_outage_takes_no_machine_for_silent_on_its_return():
-    """Its hold outlives the outage, so its blocks are still its own; but it heard nobody for as long."""
+def test_holder_paused_during_outage_marks_no_machine_silent():
+    """Its store lease outlives the outage, so it still holds its blocks, but it got no report for as long."""
     world = ready_world()
     holder = world.leader()
     world.store.outage(True)
-    world.filter = lambda source, target, path: "lost" if path in ("/checkin", "/status") else None  # nothing came in
+    # No report or probe response arrives.
+    world.filter = lambda source, target, path: "lost" if path in ("/checkin", "/status") else None
     world.freeze(holder.platform.node, 10)
     world.store.outage(False)
     holder.watch_store()
@@ -34,45 +35,45 @@
 
 
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
-def test_launch_by_a_holder_that_stood_still_between_deciding_and_sending(path):
-    """The start was committed, or about to be, when the holder stood still; others took its block meanwhile."""
+def test_launch_by_holder_paused_before_sending_breaks_no_rule(path):
+    """The holder pauses after or just before committing the start, and its block is granted to another node."""
     world = ready_world()
     holder, launch = dispatch_without_start(world, "j-1")
     name = holder.platform.node
-    asleep = []
+    paused = []
 
     def pause(source, target, at):
-        if source != name or at != path or asleep:
+        if source != name or at != path or paused:
             return 0.0
-        asleep.append(at)
+        paused.append(at)
         for node in world.nodes.values():
-            del node.holder_scheduler.round  # holders start things again
+            del node.holder_scheduler.round  # holders run their rounds again
         return 30.0
 
     world.pause_before_request = pause
     launch()
-    assert asleep == [path]
+    assert paused == [path]
     world.run(40)
     assert world.poll("j-1") == "done"
     assert world.broken == []
 
 
-def test_abort_while_the_holder_stands_still_before_its_start_leaves():
+def test_job_aborted_while_holder_is_paused_does_not_run():
     world = ready_world()
     holder, launch = dispatch_without_start(world, "j-1")
     other = next(n for n in world.nodes.values() if n is not holder)
     world.pause_before_request = lambda source, target, path: 20.0 if path == "/commands" and not world.frozen else 0.0
-    told = []
+    abort_statuses = []
     freeze = world.freeze
 
     def freeze_and_abort(name, duration):
-        told.append(world.abort("j-1", node=other.platform.node))
+        abort_statuses.append(world.abort("j-1", node=other.platform.node))
         freeze(name, duration)
 
     world.freeze = freeze_and_abort
     launch()
     world.pause_before_request = lambda *_: 0.0
-    assert told == [200]
+    assert abort_statuses == [200]
     world.run(60)
     assert world.running("j-1") == []
     assert world.broken == []
