--- a/benchmarks/earlier_names.py
+++ b/benchmarks/earlier_names.py
@@ -13,11 +13,13 @@
     "kelpjunction.jobs.leading": {"Leading": ("LeaderScheduler", {"_dispatch_interval": "_every"})},
     "kelpjunction.leadership": {"Leadership": ("Leadership", {"run_once": "step"})},
     "kelpjunction.blocks": {"Blocks": ("Blocks", {"held_zones": "my_zones"})},
+    "kelpjunction.store.mirror": {"Mirror": ("Mirror", {"entries_below": "below"})},
     "kelpjunction.daemon": {
         "Node": (
             "Node",
             {
                 "watch_store": "follow",
+                "handle_report": "check_in",
                 "job_index": "book",
                 "leader_scheduler": "leading",
                 "holder_scheduler": "holding",
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -33,7 +33,7 @@
     BalancePage,
     Policy,
     ResourceTime,
-    close,
+    close_page,
     closing_entry,
     resource_time,
     settings_entry,
@@ -68,21 +68,22 @@
     for seed, check in zip(numbers, checks, strict=True):
         hours = sum(a.cpus for a in check.observed_usage.values()) / HOUR / 1000
         click.echo(
-            f"seed {seed}: {'holds' if check.passed else 'DOES NOT HOLD'}; {len(check.books.entries)} entries, "
-            f"{check.used} priorities, {check.replayed.factors} factors replayed, {check.starts} starts, "
+            f"seed {seed}: {'holds' if check.passed else 'DOES NOT HOLD'}; {len(check.contents.entries)} entries, "
+            f"{check.priorities_compared} priorities, {check.replayed.factors} factors replayed, "
+            f"{check.starts} starts, "
             f"{check.faults} faults, {hours:.0f} CPU hours of {len(check.observed_usage)} teams"
         )
-        for why in (check.replayed.fault, *check.wrong[:3], *check.broken[:3]):
+        for why in (check.replayed.fault, *check.problems[:3], *check.broken[:3]):
             if why:
                 click.echo(f"  {why}")
         if report is not None:
             from kelpjunction.ledger import archive
-            from kelpjunction.ledger.report import html
+            from kelpjunction.ledger.report import render_report
 
             report.mkdir(parents=True, exist_ok=True)
-            archive.write(report / f"weeks-{seed}.parquet", check.books.base, check.books.entries)
+            archive.write(report / f"weeks-{seed}.parquet", check.contents.base, check.contents.entries)
             archived = archive.read(report / f"weeks-{seed}.parquet")
-            (report / f"weeks-{seed}.html").write_text(html(archived, audit(archived)))
+            (report / f"weeks-{seed}.html").write_text(render_report(archived, audit(archived)))
     sys.exit(0 if all(p.passed for p in checks) else 1)
 
 
@@ -124,7 +125,7 @@
         row = {"team": f"team-{n:04d}", "cpus": 2.0, "gpus": 0.0, "memory": 4.0, "ms": 1000 + n}
         leader.store.commit({}, {f"e/j-{n}": {"end": "done", "held": row}})
     world.run(150)
-    keeper, leader_term = leader.ledger_keeper, leader.leadership.leader_term
+    keeper, leader_term = leader.ledger_writer, leader.leadership.leader_term
     took = []
     for _ in range(9):
         keeper.end()
@@ -137,7 +138,7 @@
 def _replay_of_year() -> tuple[float, int]:
     """Seconds to replay a year of 50 teams with one entry an hour."""
     teams = {f"team-{n:02d}": Team(f"team-{n:02d}", 8.0, 0.0, None, None) for n in range(50)}
-    policy = Policy.of(_operators(True).ledger, teams)
+    policy = Policy.from_settings(_operators(True).ledger, teams)
     entries, page = [settings_entry(1, "", 0, policy, "n term 1")], BalancePage(0, 0, {})
     for step in range(365 * 24):
         before = page
@@ -145,7 +146,7 @@
             name: (resource_time(4.0, 0.0, 8.0, (step * 7919 + 31 * i) % HOUR), ResourceTime())
             for i, name in enumerate(teams)
         }
-        page, rows = close(page, before.closed_at_ms + HOUR, step, now, policy, teams)
+        page, rows = close_page(page, before.closed_at_ms + HOUR, step, now, policy, teams)
         entries.append(
             closing_entry(entries[-1]["n"] + 1, entries[-1]["hash"], 0, before.closed_at_ms, page, rows, "n term 1")
         )
@@ -205,7 +206,7 @@
             for x in range(200)
         ]
         against.plot([x / 20 for x in range(200)], values, label=name)
-        policy, decayed, line = Policy.of(replace(defaults, form=name), {}), 0, []
+        policy, decayed, line = Policy.from_settings(replace(defaults, form=name), {}), 0, []
         for day in days:
             use = resource_time(96.0 if day < 28 else 0.0, 0.0, 0.0, 24 * HOUR)
             row = apply_charge(decayed, 24 * HOUR, use, share, policy)
--- a/benchmarks/node_calls.py
+++ b/benchmarks/node_calls.py
@@ -55,9 +55,9 @@
 
     def check_in() -> None:
         report["tally"] += 1
-        assert holder.check_in(orjson.dumps(report))[0] == 200
+        assert holder.handle_report(orjson.dumps(report))[0] == 200
 
-    key = next(entry.key for entry in holder.mirror.below("l/run/"))
+    key = next(entry.key for entry in holder.mirror.entries_below("l/run/"))
     ref = key.split("/")[2]
     record = holder.mirror.get(key).value
     versions = iter(range(10**9, 10**9 + 1000))
@@ -78,7 +78,7 @@
     for _ in range(3):
         leader.watch_store()
         leader.leader_scheduler.round()
-    key = next(e.key for e in leader.mirror.below("l/run/") if len(e.value["p"]) > 1)
+    key = next(e.key for e in leader.mirror.entries_below("l/run/") if len(e.value["p"]) > 1)
     record = leader.mirror.get(key).value
     versions = iter(range(2 * 10**9, 2 * 10**9 + 1000))
 
--- a/kelpjunction/blocks/__init__.py
+++ b/kelpjunction/blocks/__init__.py
@@ -80,8 +80,8 @@
         self._clock = clock
         self.grants: dict[str, Grant] = {}
         self._process_starts: dict[str, _ProcessStart] = {}  # per node, as seen by this node as leader
-        self.on_gain: Callable[[str], None] = lambda zone: None
-        self.on_loss: Callable[[str], None] = lambda zone: None
+        self.on_grant_gained: Callable[[str], None] = lambda zone: None
+        self.on_grant_lost: Callable[[str], None] = lambda zone: None
         mirror.listen(BLOCK_PREFIX, self._on_grant_changed)
 
     def _on_grant_changed(self, key: str, value: dict | None, version: int) -> None:
@@ -104,10 +104,10 @@
         holds_now = self.own_grant(zone) is not None
         if held_before and not uninterrupted:
             self._record_change(GrantChange.LOST, old)
-            self.on_loss(zone)
+            self.on_grant_lost(zone)
         if holds_now and not (held_before and uninterrupted):
             self._record_change(GrantChange.GAINED, self.grants[zone])
-            self.on_gain(zone)
+            self.on_grant_gained(zone)
         elif holds_now and old.token != self.grants[zone].token:
             self._record_change(GrantChange.RAISED, self.grants[zone])
 
@@ -227,5 +227,5 @@
         if outcome.status is not CommitStatus.APPLIED:
             log.info("write of grants for blocks %s was not confirmed: %s", ",".join(holders), outcome.status.value)
             return False
-        self._mirror.put_outcome(puts, (), outcome.revision)
+        self._mirror.put_transaction(puts, (), outcome.revision)
         return True
--- a/kelpjunction/cli/jobs.py
+++ b/kelpjunction/cli/jobs.py
@@ -39,10 +39,10 @@
 class RetryingClient:
     """Sends a request to one node after the other until one gives an answer other than "try again later"."""
 
-    def __init__(self, nodes: str, patience: float, pause: Callable[[float], None] = time.sleep) -> None:
+    def __init__(self, nodes: str, patience: float, sleep: Callable[[float], None] = time.sleep) -> None:
         self._addresses = [address for address in nodes.split(",") if address]
         self._retry_time = timedelta(seconds=patience)
-        self._sleep = pause
+        self._sleep = sleep
         self._transport = HttpTransport(1)
 
     def ask(self, method: str, path: str, fields: dict | None = None) -> Reply:
@@ -164,4 +164,4 @@
 @_request_options
 def abort(ref: str, nodes: str, patience: float, as_json: bool) -> None:
     """Cancel a job; prints `done` if it was already done."""
-    _print(RetryingClient(nodes, patience).ask("POST", f"{users.JOBS_PATH}/{ref}{users.ABORT_END}"), as_json)
+    _print(RetryingClient(nodes, patience).ask("POST", f"{users.JOBS_PATH}/{ref}{users.ABORT_SUFFIX}"), as_json)
--- a/kelpjunction/cli/ledger.py
+++ b/kelpjunction/cli/ledger.py
@@ -111,12 +111,12 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def show(file: Path | None, state: str, config: str | None, as_json: bool) -> None:
     """Print each team's usage and factor as of the last entry."""
-    from kelpjunction.ledger.accounts import UNIT_HOUR, total
+    from kelpjunction.ledger.accounts import UNIT_HOUR, total_by_team
     from kelpjunction.ledger.audit import replay
     from kelpjunction.ledger.decay import FIXED_POINT_ONE
 
     contents = _read_ledger(file, state, config)
-    result, totals = replay(contents.base, contents.entries), total(contents.entries)
+    result, totals = replay(contents.base, contents.entries), total_by_team(contents.entries)
     teams = {
         name: {
             "cpu_hours": totals[name].cpus / UNIT_HOUR if name in totals else 0.0,
@@ -170,7 +170,7 @@
     from kelpjunction.ledger.audit import audit
 
     contents = _read_ledger(file, state, config)
-    target.write_text(_import_extra("report").html(contents, audit(contents)))
+    target.write_text(_import_extra("report").render_report(contents, audit(contents)))
     click.echo(f"report in {target}")
 
 
--- a/kelpjunction/cli/serve.py
+++ b/kelpjunction/cli/serve.py
@@ -77,7 +77,7 @@
 
     daemon = Daemon(platform, operator_settings)
     try:
-        logs.set_up(
+        logs.configure_logging(
             os.environ.get("LOG_LEVEL", "info"), os.environ.get("LOG_FORMAT", "line"), platform.node, daemon.term
         )
     except ValueError as error:
--- a/kelpjunction/cli/ticket.py
+++ b/kelpjunction/cli/ticket.py
@@ -150,7 +150,7 @@
         _fail_missing_package(error)
     daemon = Daemon(platform, operators, gateway)
     try:
-        logs.set_up(
+        logs.configure_logging(
             os.environ.get("LOG_LEVEL", "info"), os.environ.get("LOG_FORMAT", "line"), gateway.name, daemon.term
         )
     except ValueError as error:
--- a/kelpjunction/daemon.py
+++ b/kelpjunction/daemon.py
@@ -16,7 +16,7 @@
 from kelpjunction.fleet.cloud import Fleet
 from kelpjunction.fleet.machine_monitor import MachineMonitor
 from kelpjunction.fleet.machines import Inventory
-from kelpjunction.http import Application, SiblingApplication, server, sibling_is_fresh
+from kelpjunction.http import Application, SiblingApplication, create_server, sibling_is_fresh
 from kelpjunction.intake import Intake
 from kelpjunction.jobs.failure_attribution import FailureAttribution
 from kelpjunction.jobs.holder_scheduler import HolderScheduler
@@ -37,7 +37,7 @@
 
 MIN_ROUND_PAUSE = timedelta(milliseconds=50)
 MAX_ROUND_PAUSE = timedelta(milliseconds=250)
-PAUSE_AFTER_TROUBLE = timedelta(milliseconds=250)
+ERROR_RETRY_DELAY = timedelta(milliseconds=250)
 SMALL_POOL_SOCKETS = 20
 GC_THRESHOLDS = (20_000, 20, 50)
 SIBLING_CHECK_INTERVAL = timedelta(seconds=1)
@@ -75,9 +75,9 @@
         self._transport = transport
         self.wake = Event()
         self.pause_detector = PauseDetector(clock)
-        self.store = StoreClient(transport, platform.store_address, platform.store, clock, pause, share=1.0)
+        self.store = StoreClient(transport, platform.store_address, platform.store, clock, pause, write_share=1.0)
         renewal = LeaseRenewalPolicy(platform.workers.lease, platform.workers.cancel, operators.block_lease)
-        self.mirror = Mirror(self.store, clock, watch_transport, watch=renewal.watch_timeout)
+        self.mirror = Mirror(self.store, clock, watch_transport, watch_timeout=renewal.watch_timeout)
         self.mirror.on_foreign_changes = lambda changes: self.store.rate_limiter.on_foreign_changes(
             changes, clock.steady()
         )
@@ -138,7 +138,7 @@
         self.intake = Intake(
             platform, self.store, self.mirror, self.verifier, self.job_index, self.fleet, clock, self.recorder
         )
-        self.record_writer = RecordWriter(self.store, self.mirror, self.job_index, clock, self.intake.remember)
+        self.record_writer = RecordWriter(self.store, self.mirror, self.job_index, clock, self.intake.cache_ended_job)
         self.holder_scheduler = HolderScheduler(
             platform,
             operators,
@@ -165,17 +165,17 @@
             clock,
             changes,
         )
-        self.ledger_keeper = None
+        self.ledger_writer = None
         if operators.ledger.enabled:
             # Imported only by nodes that keep a ledger.
             from kelpjunction.ledger.writer import LedgerWriter
 
-            self.ledger_keeper = LedgerWriter(
+            self.ledger_writer = LedgerWriter(
                 platform, operators.ledger, self.store, self.mirror, self.job_index, clock, watch_transport
             )
-            self.leader_scheduler.team_weight_factor = self.ledger_keeper.factor
-        self.blocks.on_gain = self._on_block_gained
-        self.blocks.on_loss = self.worker_registry.clear
+            self.leader_scheduler.team_weight_factor = self.ledger_writer.factor
+        self.blocks.on_grant_gained = self._on_block_gained
+        self.blocks.on_grant_lost = self.worker_registry.clear
         for prefix in (JOB_PREFIX, RUN_PREFIX, DISPATCH_PREFIX, SETTLED_PREFIX, BLOCK_PREFIX):
             self.mirror.listen(prefix, lambda key, value, version: self.wake.set())
         self.inventory.on_change = self.wake.set
@@ -183,9 +183,9 @@
         self.rounds = 0
 
     def _on_leader_term_change(self, leader_term: LeaderTerm | None) -> None:
-        self.fleet.begin(leader_term)
-        if leader_term is None and self.ledger_keeper is not None:
-            self.ledger_keeper.end()
+        self.fleet.set_leader_term(leader_term)
+        if leader_term is None and self.ledger_writer is not None:
+            self.ledger_writer.end()
         self.wake.set()
 
     def _on_block_gained(self, zone: str) -> None:
@@ -206,10 +206,10 @@
             return False
         return True
 
-    def check_in(self, body: bytes) -> tuple[int, bytes]:
+    def handle_report(self, body: bytes) -> tuple[int, bytes]:
         """Answer a worker's report with a status and a body, or redirect the worker to the holder of its block."""
         report = workers.parse_report(body)
-        if self.inventory.gone(report.machine):
+        if self.inventory.is_gone(report.machine):
             return 503, b"{}"  # the report was delayed by a network partition; the machine no longer exists
         holder = self.blocks.holder(report.zone)
         if self.blocks.own_grant(report.zone) is None:
@@ -221,7 +221,7 @@
             # Only this node's mirror is stale, so another node holds its blocks or
             # soon will. The worker should look for that node at once.
             return 503, b"{}"
-        return self.worker_registry.check_in(report)
+        return self.worker_registry.handle_report(report)
 
     def ask_siblings(self) -> None:
         """While this node's mirror is stale, ask the siblings whether theirs is fresh."""
@@ -241,10 +241,10 @@
 
     def update_ledger(self) -> None:
         """Close the ledger periods that are due, if this node leads and keeps a ledger."""
-        if self.ledger_keeper is None:
+        if self.ledger_writer is None:
             return
         try:
-            self.ledger_keeper.run_once()
+            self.ledger_writer.run_once()
         except StoreUnavailable as error:
             log.debug("ledger update postponed: %s", error)
 
@@ -256,13 +256,13 @@
             self.rounds += 1
             self.record_writer.work_deferred = False
             run_again = self.holder_scheduler.round()
-            if self.machine_monitor.changed:
+            if self.machine_monitor.publish_due:
                 self.machine_monitor.publish()
             leader_term = self.leadership.leader_term
             if leader_term is not None:
                 if self._started_term is not leader_term:
-                    if self.ledger_keeper is not None:
-                        self.ledger_keeper.begin(leader_term)
+                    if self.ledger_writer is not None:
+                        self.ledger_writer.begin(leader_term)
                     self.leader_scheduler.begin(leader_term)
                     self._started_term = leader_term
                 run_again = self.leader_scheduler.round() or run_again
@@ -310,15 +310,15 @@
     def run_forever(self) -> None:
         """Serve until the process is killed."""
         incoming = self._platform.max_sockets - self._max_outgoing - 2 * SMALL_POOL_SOCKETS
-        user_server = server(
-            self._platform.listen_address, Application(self.node.intake, self.node.check_in), Pool(incoming)
+        user_server = create_server(
+            self._platform.listen_address, Application(self.node.intake, self.node.handle_report), Pool(incoming)
         )
         metrics = None
         if self._operators.metrics:
             from kelpjunction.metrics import Metrics
 
             metrics = Metrics(self.node)
-        sibling_server = server(
+        sibling_server = create_server(
             self._platform.internal_address, SiblingApplication(self.node.intake, metrics), Pool(SMALL_POOL_SOCKETS)
         )
         user_server.start()
@@ -336,7 +336,7 @@
                 renewal.grace_period.total_seconds(),
             )
         loops = [self._follow, self._lead, self._rounds, self._stops, self._cloud, self._watch, self._peers, self._beat]
-        if self.node.ledger_keeper is not None:
+        if self.node.ledger_writer is not None:
             loops.append(self._keep)
         # A loop that ends is a defect. The other loops continue and its error is not suppressed.
         gevent.joinall([gevent.spawn(self._run_loop, loop) for loop in loops])
@@ -348,7 +348,7 @@
                 loop()
             except Exception:
                 log.exception("a turn of %s failed", loop.__name__)
-                sleep(PAUSE_AFTER_TROUBLE)
+                sleep(ERROR_RETRY_DELAY)
 
     def _on_leader_key_change(self, key: str, value: dict | None, version: int) -> None:
         if value is None:
@@ -359,7 +359,7 @@
         """Watch the state service at a limited rate: each change ends a watch, and the next watch is a new request."""
         started_at = self._clock.steady()
         succeeded = self.node.watch_store()
-        interval = seconds(1 / self.node.watch_rate) if succeeded else PAUSE_AFTER_TROUBLE
+        interval = seconds(1 / self.node.watch_rate) if succeeded else ERROR_RETRY_DELAY
         if succeeded and not self.node.busy:
             # This node makes no decisions now, so it leaves its share of the
             # requests to the nodes that hold blocks.
--- a/kelpjunction/fleet/cloud.py
+++ b/kelpjunction/fleet/cloud.py
@@ -118,7 +118,7 @@
         `spare`, capacity that is only kept free must be cheap.
         """
         spec = job.spec
-        self.large_jobs.note([spec])
+        self.large_jobs.record([spec])
         wait_limit = (
             LARGE_JOB_CHEAP_CAPACITY_WAIT_LIMIT
             if self.large_jobs.is_large(spec) and not self._preemption_policy.without_guarantee(spec)
@@ -151,7 +151,7 @@
 
     # -- leader term --------------------------------------------------------
 
-    def begin(self, leader_term: LeaderTerm | None) -> None:
+    def set_leader_term(self, leader_term: LeaderTerm | None) -> None:
         """Start a leader term with fresh state, or end the term (None)."""
         self._leader_term = leader_term
         if leader_term is None:
@@ -239,12 +239,12 @@
             after = page[-1].machine
         now = self._machines_listed_at = self._clock.steady()
         for entry in listed.values():
-            if self._inventory.gone(entry.machine):
+            if self._inventory.is_gone(entry.machine):
                 continue  # the cloud's list lags behind its returns
-            machine = self._inventory.adopt(entry.machine, entry.type, entry.zone, entry.spot, entry.address)
+            machine = self._inventory.get_or_add(entry.machine, entry.type, entry.zone, entry.spot, entry.address)
             machine.rented_at = min(machine.rented_at, now - entry.age)
             if entry.state == "failed" and machine.state is not MachineState.RETURNING:
-                machine.become(MachineState.RETURNING, now, "the cloud lists it as failed")
+                machine.transition_to(MachineState.RETURNING, now, "the cloud lists it as failed")
 
     def _return_unbooted_machines(self) -> None:
         """Mark machines for return that did not boot in time."""
@@ -256,7 +256,7 @@
                 type_ = self.catalog.get(machine.type)
                 boot = type_.boot if type_ else seconds(60)
                 if now - machine.rented_at > boot * 3 + seconds(20):
-                    machine.become(MachineState.RETURNING, now, "it did not boot in time")
+                    machine.transition_to(MachineState.RETURNING, now, "it did not boot in time")
 
     # -- returning ----------------------------------------------------------
 
@@ -268,8 +268,8 @@
         known, pending = self.machines, self._inventory.rental_record.pending_returns
         # Returns recorded by an earlier leader, of machines unknown to this node, must be completed too.
         # Otherwise they would stay pending.
-        names += [n for n in pending if n not in known and n not in unrecorded and not self._inventory.gone(n)]
-        names = names[: min(wire.MAX_RETURN, self._max_names)]
+        names += [n for n in pending if n not in known and n not in unrecorded and not self._inventory.is_gone(n)]
+        names = names[: min(wire.MAX_MACHINES_PER_RETURN, self._max_names)]
         if not names:
             return
         # Recorded first: the cloud may carry out a return late, and the next
@@ -279,9 +279,9 @@
         if free_slots < len(new_returns):
             names = [name for name in names if name in pending or name in new_returns[:free_slots]]
             new_returns = new_returns[: max(0, free_slots)]
-        if not names or (new_returns and not self._write_rental_record(back=new_returns)):
+        if not names or (new_returns and not self._write_rental_record(new_returns=new_returns)):
             return
-        self._call("POST", wire.RETURN_PATH, wire.return_body(names))
+        self._call("POST", wire.RENTAL_RETURNS_PATH, wire.return_body(names))
         self._unrecorded_gone += names
         if any(name in self._job_index.loads for name in names):
             self._write_rental_record()  # once the holder knows, its tasks can start elsewhere
@@ -298,7 +298,7 @@
                 machine.idle_since = None
                 continue
             if machine.state is MachineState.FAULTY:
-                machine.become(MachineState.RETURNING, now, "faulty and empty")
+                machine.transition_to(MachineState.RETURNING, now, "faulty and empty")
             if machine.idle_since is None:
                 machine.idle_since = now
             type_ = catalog.get(machine.type)
@@ -307,12 +307,12 @@
             idle = now - machine.idle_since
             if idle <= self._operators.idle_return or now - machine.rented_at <= MINIMUM_BILLED_TIME:
                 continue
-            if not self.plain_types and surplus[machine.spot] < 1:
+            if not self.has_types_without_accelerators and surplus[machine.spot] < 1:
                 continue  # it would be rented again immediately
             if type_.gpus and not machine.spot and on_demand_counts[type_.name] <= needed.get(type_.name, 0):
                 continue
             if type_.gpus or spare_cpus >= type_.cpus:
-                machine.become(MachineState.RETURNING, now, f"idle for {idle.total_seconds():.0f} s")
+                machine.transition_to(MachineState.RETURNING, now, f"idle for {idle.total_seconds():.0f} s")
                 on_demand_counts[type_.name] -= not machine.spot
                 surplus[machine.spot] -= 1
                 spare_cpus -= type_.cpus
@@ -326,7 +326,7 @@
         except types without demand once accelerator work has been seen.
         """
         wanted: Counter = Counter()
-        for job in map(self._job_index.jobs.__getitem__, self._job_index.accelerated):
+        for job in map(self._job_index.jobs.__getitem__, self._job_index.accelerator_jobs):
             for type_ in self.catalog.values():
                 if not job.spec.spot and type_fits(job.spec, type_):
                     # Small tasks share a machine.  Jobs that may use spot machines are left to those.
@@ -362,12 +362,12 @@
         """Remember the specs of recent jobs that need accelerators: their machines boot too slowly to rent per job."""
         now = self._clock.steady()
         if (
-            self._job_index.accelerated == self._accelerated_jobs_seen
+            self._job_index.accelerator_jobs == self._accelerated_jobs_seen
             and now - self._accelerator_specs_noted_at < MACHINE_CHECK_INTERVAL
         ):
             return
-        self._accelerated_jobs_seen, self._accelerator_specs_noted_at = set(self._job_index.accelerated), now
-        for spec in (self._job_index.jobs[ref].spec for ref in self._job_index.accelerated):
+        self._accelerated_jobs_seen, self._accelerator_specs_noted_at = set(self._job_index.accelerator_jobs), now
+        for spec in (self._job_index.jobs[ref].spec for ref in self._job_index.accelerator_jobs):
             self._accelerator_specs_seen[spec.types, spec.zone, spec.cpus, spec.gpus, spec.memory] = (spec, now)
         self._accelerator_specs_seen = {
             need: (spec, at)
@@ -377,7 +377,7 @@
         self.recent_accelerator_specs = [spec for spec, _ in self._accelerator_specs_seen.values()]
 
     @property
-    def plain_types(self) -> bool:
+    def has_types_without_accelerators(self) -> bool:
         """Whether the catalog has machine types without accelerators."""
         return any(t.gpus == 0 for t in self.catalog.values())
 
@@ -412,14 +412,21 @@
         booting = Counter(m.type for m in live if m.state is MachineState.BOOTING)
         refused = set(self._refused_until)
         requests = plan_rentals(
-            self.capacity_requests, self.catalog, booting, refused, machines_by_zone, most=wire.MAX_RENT
+            self.capacity_requests,
+            self.catalog,
+            booting,
+            refused,
+            machines_by_zone,
+            max_per_request=wire.MAX_MACHINES_PER_RENTAL,
         )
         if not requests:
-            requests = plan_rentals(spare, self.catalog, {}, refused, machines_by_zone, most=wire.MAX_RENT)
+            requests = plan_rentals(
+                spare, self.catalog, {}, refused, machines_by_zone, max_per_request=wire.MAX_MACHINES_PER_RENTAL
+            )
         # At most one second's worth of calls, so that returns and the machine list wait no longer than that.
         max_requests = min(max(1, int(self._platform.cloud.rps)), self._store.limits.txn_ops)
         intents = dict(map(self._new_intent, requests[:max_requests]))
-        if intents and self._write_rental_record(rent=intents):
+        if intents and self._write_rental_record(new_rentals=intents):
             self._request_rentals(intents)
 
     def _new_intent(self, request: Request) -> tuple[str, dict]:
@@ -441,7 +448,7 @@
 
     def _spare_capacity_requests(self) -> list[CapacityRequest]:
         """Return requests for capacity to keep free, first for jobs that can't use spot machines, such as services."""
-        if not self.plain_types:
+        if not self.has_types_without_accelerators:
             return self._spare_machine_requests()
         missing = self._cpu_target() - self._cpu_supply()
         if missing <= 0:
@@ -492,7 +499,7 @@
 
     def _request_rental(self, name: str, intent: dict) -> None:
         offer = Offer(intent["t"], intent["z"], intent["s"])
-        reply = self._call("POST", wire.RENT_PATH, wire.rent_body(name, *offer, intent["n"]))
+        reply = self._call("POST", wire.RENTALS_PATH, wire.rent_body(name, *offer, intent["n"]))
         now = self._clock.steady()
         if reply.status == 503:
             self._refused_until[offer] = now + REFUSED_OFFER_BACKOFF
@@ -510,9 +517,9 @@
         if len(names) < intent["n"]:
             self._refused_until[offer] = now + REFUSED_OFFER_BACKOFF
         for machine in names:
-            if self._inventory.gone(machine):
+            if self._inventory.is_gone(machine):
                 continue  # a new leader repeated the request, and the machine has been returned since
-            self._inventory.adopt(machine, offer.type, offer.zone, offer.spot, "")
+            self._inventory.get_or_add(machine, offer.type, offer.zone, offer.spot, "")
         log.info(
             "rented %d %s machines of type %s in zone %s",
             len(names),
@@ -523,13 +530,15 @@
 
     # -- records ------------------------------------------------------------
 
-    def _write_rental_record(self, rent: dict[str, dict] | None = None, back: Iterable[str] = ()) -> bool:
+    def _write_rental_record(self, new_rentals: dict[str, dict] | None = None, new_returns: Iterable[str] = ()) -> bool:
         """Write the rental record with all that changed since the last write; return whether it succeeded."""
         self._record_written_at = self._clock.steady()
         settled, gone = set(self._settled_requests), list(self._unrecorded_gone)
-        if not (rent or back or settled or gone):
+        if not (new_rentals or new_returns or settled or gone):
             return True
-        rental_record = self._inventory.rental_record.updated(rent or {}, settled, list(back), gone, self._max_names)
+        rental_record = self._inventory.rental_record.updated(
+            new_rentals or {}, settled, list(new_returns), gone, self._max_names
+        )
         if not self._write(CLOUD_KEY, rental_record.record(), Purpose.CANCEL_OR_FENCE if gone else Purpose.CLOUD):
             return False
         self._settled_requests -= settled
--- a/kelpjunction/fleet/demand.py
+++ b/kelpjunction/fleet/demand.py
@@ -79,9 +79,9 @@
     booting: dict[str, int],
     refused: set[Offer],
     machines_by_zone: dict[str, int],
-    most: int,
+    max_per_request: int,
 ) -> list[Request]:
-    """Return the next rental requests, of at most `most` machines each.
+    """Return the next rental requests, of at most `max_per_request` machines each.
 
     `booting` counts the booting machines of each type, whose capacity is not
     rented again.  Small jobs share machines, so booting and missing machines
@@ -118,14 +118,17 @@
     ranked: list[tuple[int, list[Request]]] = []
     for equal_offers, shortage in shortages.items():
         ranked.append(
-            (requests_by_type[equal_offers[0].type], _spread_over_zones(shortage, equal_offers, machines_by_zone, most))
+            (
+                requests_by_type[equal_offers[0].type],
+                _spread_over_zones(shortage, equal_offers, machines_by_zone, max_per_request),
+            )
         )
         requests_by_type[equal_offers[0].type] += 1
     return [request for _, requests in sorted(ranked, key=lambda entry: entry[0]) for request in requests]
 
 
 def _spread_over_zones(
-    shortage: _Shortage, equal_offers: tuple[Offer, ...], machines_by_zone: dict[str, int], most: int
+    shortage: _Shortage, equal_offers: tuple[Offer, ...], machines_by_zone: dict[str, int], max_per_request: int
 ) -> list[Request]:
     """Return requests that cover a shortage, balanced over zones, with each group of machines in one zone."""
     left = math.ceil(shortage.machines - SLACK)
@@ -135,4 +138,4 @@
         count = min(left, shortage.group_size)
         counts[offer] += count
         left -= count
-    return [Request(offer, min(count, most), shortage.spec) for offer, count in counts.items()]
+    return [Request(offer, min(count, max_per_request), shortage.spec) for offer, count in counts.items()]
--- a/kelpjunction/fleet/machine_monitor.py
+++ b/kelpjunction/fleet/machine_monitor.py
@@ -72,16 +72,16 @@
         self._consecutive_successes = 0  # reachability checks in which a machine responded
         self.no_machine_reachable = False  # set while this node reaches the state service but no machine
         self.on_reachability_change: Callable[[], None] = lambda: None
-        self.changed = False  # whether a machine's state should be published immediately
-        worker_registry.on_seen = self._on_report
-        worker_registry.on_exit = self._on_exit
+        self.publish_due = False  # whether a machine's state should be published immediately
+        worker_registry.on_report = self._on_report
+        worker_registry.on_settled = self._on_exit
         worker_registry.images_of = self._images_of
-        worker_registry.is_gone = inventory.gone
+        worker_registry.is_gone = inventory.is_gone
         inventory.on_gone = worker_registry.settle_machine
 
     def on_block_gained(self, zone: str) -> None:
         """Probe the machines of a block that this node now holds: their workers may take a while to find it."""
-        for machine in [name for name in self._job_index.loads if self._inventory.gone(name)]:
+        for machine in [name for name in self._job_index.loads if self._inventory.is_gone(name)]:
             self._worker_registry.settle_machine(machine)  # returned while the block had no holder
         to_probe = [m for m in self._inventory.machines.values() if m.zone == zone and m.address]
         to_probe = [m for m in to_probe if m.state is not MachineState.RETURNING]
@@ -99,7 +99,7 @@
         if self._worker_registry.probe(machine.name, machine.address) is not False and show_token:
             self._worker_registry.show_token(machine.name)
 
-    def mine(self) -> list[Machine]:
+    def machines_of_held_blocks(self) -> list[Machine]:
         zones = set(self._blocks.held_zones())
         return [m for m in self._inventory.machines.values() if m.zone in zones]
 
@@ -109,19 +109,19 @@
 
     def _on_report(self, report: Report) -> None:
         """Mark a machine up, or leaving, after a report of its worker, which this node reaches."""
-        machine = self._inventory.adopt(report.machine, report.type, report.zone, report.spot, report.address)
+        machine = self._inventory.get_or_add(report.machine, report.type, report.zone, report.spot, report.address)
         machine.unanswered_probes = 0
         now = self._clock.steady()
         if report.termination_notice is not None:
-            state_changed = machine.become(
+            state_changed = machine.transition_to(
                 MachineState.LEAVING,
                 now,
                 f"the cloud terminates it in {report.termination_notice.total_seconds():.0f} s",
             )
         else:
-            state_changed = machine.become(MachineState.UP, now, "it reports")
+            state_changed = machine.transition_to(MachineState.UP, now, "it reports")
         if state_changed:
-            self.changed = True
+            self.publish_due = True
             self._inventory.on_change()
 
     def _on_exit(self, placement: Placement) -> None:
@@ -141,7 +141,7 @@
 
     def _update_faulty_machines(self, now: timedelta) -> None:
         """Suspect machines with failure evidence; mark them faulty while less than a quarter of the fleet is."""
-        for machine in self.mine():
+        for machine in self.machines_of_held_blocks():
             if machine.state is not MachineState.UP or not (
                 machine.suspected or machine.name in self._job_index.failed_on
             ):
@@ -150,7 +150,7 @@
             machine.suspect(count > 0)
             faulty = sum(m.state is MachineState.FAULTY for m in self._inventory.machines.values())
             if enough and faulty * 4 < len(self._inventory.machines):
-                machine.become(
+                machine.transition_to(
                     MachineState.FAULTY, now, "failures of several jobs, or of one that succeeds elsewhere, point to it"
                 )
 
@@ -160,7 +160,9 @@
         self._pause_detector.heartbeat()
         if not self._mirror.fresh:
             return  # another node may hold these blocks by now
-        monitored = [m for m in self.mine() if m.state not in (MachineState.BOOTING, MachineState.RETURNING)]
+        monitored = [
+            m for m in self.machines_of_held_blocks() if m.state not in (MachineState.BOOTING, MachineState.RETURNING)
+        ]
         for machine in monitored:
             worker = self._worker_registry.workers.get(machine.name)
             last_proved_at = worker.reachability_tracker.proved_at if worker else None
@@ -182,7 +184,7 @@
         """Mark a machine silent if it is up or leaving, and return whether it was."""
         if machine.state not in (MachineState.UP, MachineState.LEAVING):
             return False
-        return machine.become(MachineState.SILENT, self._clock.steady(), reason)
+        return machine.transition_to(MachineState.SILENT, self._clock.steady(), reason)
 
     def _probe_late_machine(self, machine: Machine) -> None:
         """Probe a machine whose report is late; if it responds, it is not silent.
@@ -204,7 +206,7 @@
         lease_end = self._worker_registry.lease_end(machine.name, machine.zone)
         lease_is_over = lease_end is not None and self._clock.steady() > lease_end + seconds(30)
         if lease_is_over or not self._looks_partitioned(machine.zone):
-            machine.become(MachineState.RETURNING, self._clock.steady(), "it does not respond to probes")
+            machine.transition_to(MachineState.RETURNING, self._clock.steady(), "it does not respond to probes")
 
     def _start_reachability_check(self) -> None:
         """Probe a sample of machines of all blocks, to check whether this node reaches any."""
@@ -276,7 +278,7 @@
             self._publishing = False
 
     def _publish(self) -> None:
-        self.changed = False
+        self.publish_due = False
         now = self._clock.steady()
         with_images = now - self._published_at >= IMAGES_PUBLISH_INTERVAL
         txns: list[Transaction] = []
@@ -285,7 +287,7 @@
         txns.sort(key=lambda txn: txn.purpose is Purpose.BEST_EFFORT)
         for txn in txns:
             if not self._store.try_reserve(txn.purpose, txn.ops):
-                self.changed = self.changed or txn.purpose is Purpose.MACHINE_STATE
+                self.publish_due = self.publish_due or txn.purpose is Purpose.MACHINE_STATE
                 continue
             if txn.purpose is Purpose.BEST_EFFORT:
                 self._published_at = now
@@ -331,7 +333,7 @@
     def _write(self, txn: Transaction) -> None:
         outcome = self._store.try_commit(txn)
         if outcome.status is CommitStatus.APPLIED:
-            self._mirror.put_outcome(txn.puts, (), outcome.revision)
+            self._mirror.put_transaction(txn.puts, (), outcome.revision)
         elif outcome.status is CommitStatus.CONFLICT:
             for key in outcome.failed:
                 self._mirror.refresh(key)
--- a/kelpjunction/fleet/machines.py
+++ b/kelpjunction/fleet/machines.py
@@ -30,7 +30,7 @@
 class MachineState(Enum):
     """States of a machine: BOOTING -> UP <-> SILENT or LEAVING, any -> FAULTY or RETURNING -> GONE.
 
-    `Machine.become` checks and makes these changes; `Machine.copy_state` copies a state that a holder published.
+    `Machine.transition_to` checks and makes these changes; `Machine.copy_state` copies a state that a holder published.
     """
 
     BOOTING = "booting"
@@ -61,7 +61,7 @@
     suspected: bool = False
     unanswered_probes: int = 0
 
-    def become(self, state: MachineState, now: timedelta, reason: str = "") -> bool:
+    def transition_to(self, state: MachineState, now: timedelta, reason: str = "") -> bool:
         """Change the state if the transition is allowed, and return whether it changed.
 
         Every state change that this node decides goes through here.  It is
@@ -157,11 +157,11 @@
         mirror.listen(MACHINE_PREFIX, self._page_changed)
         mirror.listen(CLOUD_KEY, self._rental_record_changed)
 
-    def gone(self, name: str) -> bool:
+    def is_gone(self, name: str) -> bool:
         """Whether the cloud confirmed that a machine is gone; later reports and lists of it are outdated."""
         return name in self._gone
 
-    def adopt(self, name: str, type_: str, zone: str, spot: bool, address: str) -> Machine:
+    def get_or_add(self, name: str, type_: str, zone: str, spot: bool, address: str) -> Machine:
         """Return the machine of this name, adding it if it is unknown."""
         machine = self.machines.get(name)
         if machine is None:
@@ -169,7 +169,7 @@
             machine = self.machines[name] = Machine(name, type_, zone, spot, self._changes, since=now, rented_at=now)
             self._changes.mark_changed(name)
             if name in self.rental_record.pending_returns:
-                machine.become(MachineState.RETURNING, now, "its return was decided by the leader")
+                machine.transition_to(MachineState.RETURNING, now, "its return was decided by the leader")
         if address:
             machine.address = address
         return machine
@@ -183,9 +183,9 @@
             return
         rows = self._pages_by_key[key] = {name: Row(*row) for name, row in value.items()}
         for name, row in rows.items():
-            if row == old.get(name) or self.gone(name):
+            if row == old.get(name) or self.is_gone(name):
                 continue  # an outdated page must not bring back a returned machine
-            machine = self.adopt(name, row.type, zone, row.spot, row.address)
+            machine = self.get_or_add(name, row.type, zone, row.spot, row.address)
             # For its own blocks, the holder's memory is newer than its stored pages.
             if self._blocks.own_grant(zone) is None:
                 machine.update_images(row.images)
@@ -198,9 +198,9 @@
         for name in self.rental_record.pending_returns:
             machine = self.machines.get(name)
             if machine is not None:
-                machine.become(MachineState.RETURNING, now, "its return was decided by the leader")
+                machine.transition_to(MachineState.RETURNING, now, "its return was decided by the leader")
         for name in self.rental_record.gone:
-            if not self.gone(name):
+            if not self.is_gone(name):
                 self._forget(name, now)
 
     def _forget(self, name: str, now: timedelta) -> None:
@@ -211,7 +211,7 @@
         machine = self.machines.pop(name, None)
         self._changes.mark_changed(name)
         if machine is not None:
-            machine.become(MachineState.GONE, now, "returned")
+            machine.transition_to(MachineState.GONE, now, "returned")
         self.on_gone(name)
 
     def pages(self, zone: str) -> dict[str, dict[str, Row]]:
--- a/kelpjunction/fleet/rental_record.py
+++ b/kelpjunction/fleet/rental_record.py
@@ -33,17 +33,17 @@
 
     def updated(
         self,
-        rent: Mapping[str, dict],
+        new_rentals: Mapping[str, dict],
         settled: Collection[str],
-        back: Collection[str],
+        new_returns: Collection[str],
         gone: Collection[str],
-        room: int,
+        max_gone: int,
     ) -> "RentalRecord":
-        """Return the record with new requests (`rent`) and returns (`back`) and without settled requests.
+        """Return the record with new requests (`new_rentals`) and returns (`new_returns`) and without settled requests.
 
-        `room` limits the number of names under `gone`; the latest are kept.
+        `max_gone` limits the number of names under `gone`; the latest are kept.
         """
         kept = {name: intent for name, intent in self.pending_rentals.items() if name not in settled}
-        all_gone = tuple(dict.fromkeys((*self.gone, *gone)))[-room:]
-        returns = tuple(n for n in dict.fromkeys((*self.pending_returns, *back)) if n not in set(gone))
-        return RentalRecord(kept | dict(rent), returns, all_gone)
+        all_gone = tuple(dict.fromkeys((*self.gone, *gone)))[-max_gone:]
+        returns = tuple(n for n in dict.fromkeys((*self.pending_returns, *new_returns)) if n not in set(gone))
+        return RentalRecord(kept | dict(new_rentals), returns, all_gone)
--- a/kelpjunction/http.py
+++ b/kelpjunction/http.py
@@ -46,18 +46,18 @@
     return [answer.body]
 
 
-def body_of(environ: dict) -> bytes:
+def read_body(environ: dict) -> bytes:
     """Read a request's body; an oversized one raises `MalformedMessage` without being read completely."""
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
         raise MalformedMessage("bad Content-Length") from error
-    if length < 0 or length > users.MAX_BODY:
-        raise MalformedMessage(f"body exceeds {users.MAX_BODY} bytes")
+    if length < 0 or length > users.MAX_BODY_BYTES:
+        raise MalformedMessage(f"body exceeds {users.MAX_BODY_BYTES} bytes")
     chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
-    body = environ["wsgi.input"].read(users.MAX_BODY + 1 if chunked else length)
-    if len(body) > users.MAX_BODY:
-        raise MalformedMessage(f"body exceeds {users.MAX_BODY} bytes")
+    body = environ["wsgi.input"].read(users.MAX_BODY_BYTES + 1 if chunked else length)
+    if len(body) > users.MAX_BODY_BYTES:
+        raise MalformedMessage(f"body exceeds {users.MAX_BODY_BYTES} bytes")
     return body
 
 
@@ -131,7 +131,7 @@
         pass
 
 
-def server(address: str, application: Callable, pool: Pool) -> WSGIServer:
+def create_server(address: str, application: Callable, pool: Pool) -> WSGIServer:
     """Create a server for `address` without starting it; `pool` limits its connections."""
     host, _, port = address.rpartition(":")
     return WSGIServer(
@@ -148,9 +148,9 @@
 class Application:
     """The WSGI application for users, workers and the load balancer."""
 
-    def __init__(self, intake: Intake, check_in: Callable[[bytes], tuple[int, bytes]]) -> None:
+    def __init__(self, intake: Intake, handle_report: Callable[[bytes], tuple[int, bytes]]) -> None:
         self._intake = intake
-        self._check_in = check_in
+        self._handle_report = handle_report
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         try:
@@ -164,24 +164,24 @@
 
     def _route(self, method: str, path: str, environ: dict) -> UserResponse:
         if path == workers.CHECK_IN_PATH:
-            return UserResponse(*self._check_in(body_of(environ))) if method == "POST" else not_allowed()
+            return UserResponse(*self._handle_report(read_body(environ))) if method == "POST" else method_not_allowed()
         if path == users.HEALTH_PATH:
             healthy = self._intake.healthy()
             return UserResponse(200 if healthy else 503, b"{}")
         if path == users.JOBS_PATH:
-            return self._intake.submit(body_of(environ)) if method == "POST" else not_allowed()
+            return self._intake.submit(read_body(environ)) if method == "POST" else method_not_allowed()
         if path.startswith(users.JOBS_PATH + "/"):
             ref = path.removeprefix(users.JOBS_PATH + "/")
-            if ref.endswith(users.ABORT_END):
+            if ref.endswith(users.ABORT_SUFFIX):
                 if method != "POST":
-                    return not_allowed()
-                body_of(environ)
-                return self._intake.abort(ref.removesuffix(users.ABORT_END))
-            return self._intake.status(ref) if method == "GET" else not_allowed()
+                    return method_not_allowed()
+                read_body(environ)
+                return self._intake.abort(ref.removesuffix(users.ABORT_SUFFIX))
+            return self._intake.status(ref) if method == "GET" else method_not_allowed()
         return UserResponse(404, users.error_answer("no such path"))
 
 
-def not_allowed() -> UserResponse:
+def method_not_allowed() -> UserResponse:
     return UserResponse(405, users.error_answer("method not allowed"))
 
 
--- a/kelpjunction/intake/__init__.py
+++ b/kelpjunction/intake/__init__.py
@@ -16,7 +16,7 @@
 from kelpjunction.fleet.cloud import Fleet
 from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX, JobIndex, job_record
 from kelpjunction.placement import type_fits
-from kelpjunction.queue import over_limit
+from kelpjunction.queue import exceeds_limit
 from kelpjunction.rate_limiter import Purpose
 from kelpjunction.recorder import Event, Recorder
 from kelpjunction.settings import PlatformSettings, Team
@@ -30,7 +30,7 @@
 
 ENDED_JOB_CACHE_LIMIT = 20_000
 RETRY_AFTER = timedelta(seconds=1)
-TRIES = 4
+MAX_ATTEMPTS = 4
 # After this the write's outcome is read instead: users give up a request after 5 s, and the state service
 # normally responds within about 100 ms.
 COMMIT_RESPONSE_TIMEOUT = timedelta(seconds=1.5)
@@ -57,7 +57,7 @@
     if not any(type_fits(spec, t) for t in catalog.values()):
         return "a task fits no allowed machine type"
     simultaneous_tasks = 1 if spec.shape is Shape.ARRAY else spec.tasks
-    if over_limit(team, spec.cpus, spec.gpus, simultaneous_tasks):
+    if exceeds_limit(team, spec.cpus, spec.gpus, simultaneous_tasks):
         return f"the job needs more than the limit of team {spec.team}"
     return None
 
@@ -169,7 +169,7 @@
         The status is never older than one that any node has already given to a user.
         """
         key, end_key = JOB_PREFIX + ref, END_PREFIX + ref
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if ref in self._ended_jobs:
                 self._ended_jobs.move_to_end(ref)
                 return UserResponse(200, wire.job_answer(ref, self._ended_jobs[ref]))
@@ -184,14 +184,14 @@
                 continue
             end = self._store.get(end_key)
             if end is not None:
-                self.remember(ref, end.value["end"])
+                self.cache_ended_job(ref, end.value["end"])
                 continue
             if self._verifier.versions_current({key: 0, end_key: 0}):
                 return None
             self._mirror.refresh(key)
         raise StoreUnavailable("the job's record kept changing")
 
-    def remember(self, ref: str, end: str) -> None:
+    def cache_ended_job(self, ref: str, end: str) -> None:
         """Cache how a job ended, which never changes."""
         self._ended_jobs[ref] = JobPhase.DONE if end == "done" else JobPhase.CANCELLED
         if len(self._ended_jobs) > ENDED_JOB_CACHE_LIMIT:
@@ -211,7 +211,7 @@
 
     def _abort(self, ref: str) -> UserResponse:
         key = JOB_PREFIX + ref
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             entry = self._mirror.get(key)
             if entry is None:
                 known = self._find_job(ref)
--- a/kelpjunction/jobs/dispatch.py
+++ b/kelpjunction/jobs/dispatch.py
@@ -15,7 +15,7 @@
 from kelpjunction.jobs.job_index import CHUNK_TASKS, DISPATCH_PREFIX, ChunkDispatch, DispatchTarget, Job, JobIndex
 from kelpjunction.wire.messages import Shape, TaskId
 
-PAGE_FILL_LIMIT = 0.8  # fraction of the longest value that the state service accepts
+PAGE_FILL_FRACTION = 0.8  # fraction of the longest value that the state service accepts
 
 Page = dict[str, dict[int, ChunkDispatch]]  # by job and chunk
 
@@ -56,7 +56,8 @@
             prefix = f"{DISPATCH_PREFIX}{shape.value}/"
             pages = job_index.dispatch_pages(prefix)
             free_bytes = {
-                key: value_bytes * PAGE_FILL_LIMIT - len(orjson.dumps(page_record(page))) for key, page in pages.items()
+                key: value_bytes * PAGE_FILL_FRACTION - len(orjson.dumps(page_record(page)))
+                for key, page in pages.items()
             }
             changed: list[str] = []
             for ref, parts in new.items():
@@ -66,7 +67,7 @@
                 key = key or next((k for k in pages if free_bytes[k] >= size), None)
                 if key is None:
                     key = f"{prefix}{max((int(k.rpartition('/')[2]) for k in pages), default=-1) + 1}"
-                    pages[key], free_bytes[key] = {}, value_bytes * PAGE_FILL_LIMIT
+                    pages[key], free_bytes[key] = {}, value_bytes * PAGE_FILL_FRACTION
                 free_bytes[key] -= size
                 rows_of_job = pages[key].setdefault(ref, {})
                 for number, dispatch in parts.items():
--- a/kelpjunction/jobs/holder_scheduler.py
+++ b/kelpjunction/jobs/holder_scheduler.py
@@ -28,19 +28,19 @@
     Phase,
     Placement,
     SettledAttempt,
-    ranges,
+    inclusive_ranges,
     settled_page,
 )
 from kelpjunction.jobs.records import RecordWriter, run_key
 from kelpjunction.jobs.views import (
     ViewCache,
-    able_for,
-    cached,
     count_by_zone_and_machine,
-    fitting,
+    expected_cached_images,
+    machines_that_fit_if_empty,
     preemption_candidates,
     view_of,
     with_services_only,
+    without_failed_machines,
 )
 from kelpjunction.placement import (
     MachineSelection,
@@ -63,7 +63,7 @@
 
 MAX_RESULT_TXNS = 24  # result records written in one round before dispatched tasks are started
 MAX_START_TXNS = 24
-PAGE_FILL_LIMIT = 0.8  # largest size of a page of settled attempts, as a share of the size limit of a value
+PAGE_FILL_FRACTION = 0.8  # largest size of a page of settled attempts, as a share of the size limit of a value
 SETTLED_ROW_BYTES = 16
 SETTLED_PAGE_WRITE_SHARE = 0.2
 LEASE_EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=500)
@@ -144,7 +144,7 @@
     def _result_txns(self) -> list[Transaction]:
         """Transactions that record settled placements: services first, then others up to MAX_RESULT_TXNS."""
         chunks_by_job: dict[str, set[int]] = {}
-        for placement in self._job_index.settled.values():
+        for placement in self._job_index.settled_placements.values():
             if self._blocks.own_grant(placement.zone) is not None:
                 chunks_by_job.setdefault(placement.task.ref, set()).add(placement.task.index // CHUNK_TASKS)
         txns: list[Transaction] = []
@@ -212,7 +212,7 @@
         for chunk, settled_attempts in new_rows.items():
             rows[chunk] = rows.get(chunk, set()) | settled_attempts
         txns: list[Transaction] = []
-        bytes_left = self._record_writer.value_bytes * PAGE_FILL_LIMIT - 20
+        bytes_left = self._record_writer.value_bytes * PAGE_FILL_FRACTION - 20
         for ref, number in sorted(rows, key=lambda c: len(rows[c])):
             bytes_left -= len(ref) + 20 + SETTLED_ROW_BYTES * len(rows[ref, number])
             if bytes_left < 0:
@@ -276,7 +276,7 @@
             if complete and not record["p"] and job.chunk_count > 1 and not has_folded:
                 has_folded = True
                 sum_key = SUM_PREFIX + job.spec.ref
-                sum_record = {"full": ranges(job.folded_chunks | {number})}
+                sum_record = {"full": inclusive_ranges(job.folded_chunks | {number})}
                 if folded_ms := job.folded_ms + record.get("u", 0):
                     sum_record["u"] = folded_ms
                 txn.guard(sum_key, job.sum_version).put(sum_key, sum_record)
@@ -297,11 +297,11 @@
         longer than allowed.
         """
         stopped: list[Placement] = []
-        for ref in self._job_index.cancelled:
+        for ref in self._job_index.cancelled_jobs:
             stopped += self._stop_all(self._job_index.jobs[ref], ZERO, "cancelled")
-        for ref in self._job_index.gangs - self._job_index.cancelled:
+        for ref in self._job_index.gang_jobs - self._job_index.cancelled_jobs:
             job = self._job_index.jobs[ref]
-            if job.broken_gang():
+            if job.is_broken_gang():
                 stopped += self._stop_all(job, ZERO, "its gang is not whole")
             elif not all(p.is_active for p in job.placements()):
                 stopped += self._stop_all(job, job.spec.save, "its gang is being stopped")
@@ -393,7 +393,7 @@
         jobs = [self._job_index.jobs[ref] for ref in dispatched]
         by_deficit = in_order(
             (
-                PendingJob(j.spec.ref, weight_of(j.spec, self._operators), j.submitted, j.task_time_received)
+                PendingJob(j.spec.ref, weight_of(j.spec, self._operators), j.submitted, j.received_machine_time)
                 for j in jobs
             ),
             self._clock.utc(),
@@ -412,7 +412,7 @@
     ) -> tuple[list[tuple[TaskId, MachineView, int | None]], list[tuple[TaskId, DispatchTarget]]]:
         """Machines (and named attempts) for a job's dispatched tasks, and the tasks that found no machine."""
         spec = job.spec
-        able = able_for(job, views)
+        able = without_failed_machines(job, views)
         if spec.shape is Shape.GANG:
             return self._choose_gang_machines(job, dispatched, able, views)
         starts: list[tuple[TaskId, MachineView, int | None]] = []
@@ -460,7 +460,7 @@
             attempt = max(c.next_attempt for c in job.chunks.values())
             return [(task, view, attempt) for (task, _), view in zip(dispatched, chosen, strict=True)], []
         # Reserve machines for the gang, so that later jobs in the order do not start on them.
-        suitable = fitting(spec, able.within(zones))
+        suitable = machines_that_fit_if_empty(spec, able.within(zones))
         reserved = place_gang(spec, [with_services_only(v, self._placements_on(v)) for v in suitable]) or []
         for name in {v.name for v in reserved}:
             views.get(name).hold_for_gang(spec.ref)
@@ -502,7 +502,7 @@
             worker = workers.get(view.name)
             return worker is not None and worker.reachability_tracker.proved_at >= min_proved_at
 
-        return replace(self._view_cache.fresh().within(self._blocks.held_zones()), ready=ready)
+        return replace(self._view_cache.refreshed_views().within(self._blocks.held_zones()), is_ready=ready)
 
     def _view(self, name: str) -> MachineView | None:
         """A machine's view, or None if it is not usable or its worker is not reachable from this node."""
@@ -512,7 +512,7 @@
             return None
         if worker.reachability_tracker.reachability is not Reachability.REACHABLE:
             return None
-        images = cached(reversed(worker.images.items()), type_.cache_gb)
+        images = expected_cached_images(reversed(worker.images.items()), type_.cache_gb)
         return view_of(machine, type_, images, self._job_index.load(name), self._fleet)
 
     # -- making room ----------------------------------------------------------
--- a/kelpjunction/jobs/job_index.py
+++ b/kelpjunction/jobs/job_index.py
@@ -244,7 +244,7 @@
         self.indexed_task_count = 0  # tasks placed or dispatched, as counted in the job index
         self._first_unfolded_chunk = 0
         # Kept by the leader only; a new leader rebuilds them from the snapshot and from reports.
-        self.task_time_received = ZERO
+        self.received_machine_time = ZERO
         self.pending_reason = ""
 
     @property
@@ -315,7 +315,7 @@
             for i, target in chunk.unstarted_dispatches():
                 yield TaskId(self.spec.ref, number * CHUNK_TASKS + i), target
 
-    def broken_gang(self) -> bool:
+    def is_broken_gang(self) -> bool:
         """Whether some tasks of an unfinished gang are placed and others are neither placed nor dispatched."""
         done, placed, dispatched = self.counts
         return self.spec.shape is Shape.GANG and not done and placed > 0 and placed + dispatched < self.spec.tasks
@@ -326,7 +326,7 @@
     def done_count(self) -> int:
         return self.counts.done
 
-    def all_done(self) -> bool:
+    def is_all_done(self) -> bool:
         return self.spec.shape is not Shape.SERVICE and self.done_count() >= self.spec.tasks
 
     def is_finished(self) -> bool:
@@ -335,7 +335,7 @@
             return self.placed_count() == 0
         # The tasks of a gang complete together: if one is done, all are.
         gang_done = self.spec.shape is Shape.GANG and self.done_count() > 0
-        return self.all_done() or (gang_done and self.placed_count() == 0)
+        return self.is_all_done() or (gang_done and self.placed_count() == 0)
 
     def pending_tasks(self, limit: int) -> list[TaskId]:
         """The first `limit` tasks that are neither done, placed nor dispatched."""
@@ -371,7 +371,7 @@
     return record | {"cancelled": True} if cancelled else record
 
 
-def ranges(numbers: set[int]) -> list[list[int]]:
+def inclusive_ranges(numbers: set[int]) -> list[list[int]]:
     """The numbers as a sorted list of inclusive [first, last] ranges."""
     result: list[list[int]] = []
     for n in sorted(numbers):
@@ -444,13 +444,13 @@
         self.loads: dict[str, Load] = {}
         self.pending_jobs: set[str] = set()  # jobs with tasks that wait to be dispatched
         self.dispatched_jobs: set[str] = set()  # jobs with tasks that were dispatched to a block and not started
-        self.gangs: set[str] = set()
-        self.accelerated: set[str] = set()  # jobs that need accelerators and are not cancelled
-        self.cancelled: set[str] = set()
+        self.gang_jobs: set[str] = set()
+        self.accelerator_jobs: set[str] = set()  # jobs that need accelerators and are not cancelled
+        self.cancelled_jobs: set[str] = set()
         self.failed_on: dict[str, set[str]] = {}  # by machine: jobs with tasks that failed on it
         self.finished_jobs: set[str] = set()  # jobs whose final record is to be written
-        self.metered: set[str] = set()  # jobs with metered machine time
-        self.settled: dict[TaskId, Placement] = {}  # settled placements that are still to be removed from the records
+        self.metered_jobs: set[str] = set()  # jobs with metered machine time
+        self.settled_placements: dict[TaskId, Placement] = {}  # those that are still to be removed from the records
         self.task_counts: Counter[TaskDemand] = Counter()  # tasks placed or dispatched, by team and size
         self._jobs_by_team: dict[str, SortedKeyList] = {}  # earliest submission first
         self._records_without_job: dict[str, dict[str, tuple[Any, int]]] = {}  # by job and key: value and version
@@ -487,8 +487,8 @@
                 self._jobs_by_team[job.spec.team].remove(job)
                 self._index_task_count(job, 0)
                 for index in (
-                    self.pending_jobs, self.dispatched_jobs, self.gangs,
-                    self.accelerated, self.cancelled, self.finished_jobs, self.metered
+                    self.pending_jobs, self.dispatched_jobs, self.gang_jobs,
+                    self.accelerator_jobs, self.cancelled_jobs, self.finished_jobs, self.metered_jobs
                 ):  # fmt: skip
                     index.discard(ref)
                 self._index_failed_machines(ref, job.indexed_failed_on, set())
@@ -513,11 +513,11 @@
         for index, belongs in (
             (self.pending_jobs, not job.cancelled and job.pending_count() > 0),
             (self.dispatched_jobs, not job.cancelled and job.counts.dispatched > 0),
-            (self.gangs, job.spec.shape is Shape.GANG),
-            (self.accelerated, job.spec.gpus > 0 and not job.cancelled),
-            (self.cancelled, job.cancelled),
+            (self.gang_jobs, job.spec.shape is Shape.GANG),
+            (self.accelerator_jobs, job.spec.gpus > 0 and not job.cancelled),
+            (self.cancelled_jobs, job.cancelled),
             (self.finished_jobs, job.is_finished()),
-            (self.metered, any(job.machine_time)),
+            (self.metered_jobs, any(job.machine_time)),
         ):
             (index.add if belongs else index.discard)(job.spec.ref)
 
@@ -675,8 +675,8 @@
         self._changes.mark_changed(placement.machine)
 
     def _remove_placement(self, placement: Placement) -> None:
-        if self.settled.get(placement.task) is placement:
-            del self.settled[placement.task]
+        if self.settled_placements.get(placement.task) is placement:
+            del self.settled_placements[placement.task]
         load = self.loads[placement.machine]
         del load.placements[placement.task]
         load.add(placement, -1)
@@ -719,4 +719,4 @@
             if placement.zone == zone:
                 placement.phase, placement.running_since = Phase.PLACED, None
                 placement.cause, placement.was_reported = None, False
-                self.settled.pop(placement.task, None)
+                self.settled_placements.pop(placement.task, None)
--- a/kelpjunction/jobs/leader_scheduler.py
+++ b/kelpjunction/jobs/leader_scheduler.py
@@ -18,18 +18,18 @@
 from kelpjunction.jobs.failure_attribution import FailureAttribution
 from kelpjunction.jobs.holder_scheduler import weight_of
 from kelpjunction.jobs.job_index import CHUNK_TASKS, JOB_PREFIX, RUN_PREFIX, Chunk, DispatchTarget, Job, JobIndex
-from kelpjunction.jobs.records import PURPOSES, RecordWriter, run_key
-from kelpjunction.jobs.reserving import Reservations
+from kelpjunction.jobs.records import PURPOSE_BY_SHAPE, RecordWriter, run_key
+from kelpjunction.jobs.reservations import Reservations
 from kelpjunction.jobs.views import (
-    RoomCheck,
+    CapacityCheck,
     ViewCache,
-    able_for,
     count_by_zone_and_machine,
-    fitting,
     ignoring_reservations,
+    machines_that_fit_if_empty,
     preemption_candidates,
     view_of,
     with_services_only,
+    without_failed_machines,
 )
 from kelpjunction.leadership import LEADER_KEY, Leadership, LeaderTerm
 from kelpjunction.placement import (
@@ -135,13 +135,13 @@
         self._blocked_by_reservation_since, self._reservation_times = {}, {}
         self._machine_time_charged_at = self._snapshot_written_at = self._clock.steady()
         for job in self._job_index.jobs.values():
-            job.task_time_received = ZERO
+            job.received_machine_time = ZERO
         entries, _ = self._store.scan(SNAPSHOT_PREFIX)
         self._snapshot_key_count = len(entries)
         for entry in entries:
             for ref, received in entry.value.items():
                 if ref in self._job_index.jobs:
-                    self._job_index.jobs[ref].task_time_received = timedelta(seconds=received)
+                    self._job_index.jobs[ref].received_machine_time = timedelta(seconds=received)
 
     def round(self) -> bool:
         """End finished jobs and dispatch pending ones; returns whether another round should follow at once."""
@@ -169,7 +169,9 @@
         if not self._record_writer.orphan_chunks_possible:
             return
         self._record_writer.orphan_chunks_possible = False
-        keys = [e.key for e in self._mirror.below(RUN_PREFIX) if e.key.split("/")[2] not in self._job_index.jobs]
+        keys = [
+            e.key for e in self._mirror.entries_below(RUN_PREFIX) if e.key.split("/")[2] not in self._job_index.jobs
+        ]
         txns = [self._leader_txn().guard(JOB_PREFIX + key.split("/")[2], 0).delete(key) for key in keys]
         written = self._record_writer.write(txns)
         self._record_writer.orphan_chunks_possible = not written or self._record_writer.last_write_incomplete
@@ -186,7 +188,7 @@
             return
         self._machine_time_charged_at = now
         for placement in self._job_index.placements():
-            self._job_index.jobs[placement.task.ref].task_time_received += elapsed
+            self._job_index.jobs[placement.task.ref].received_machine_time += elapsed
         self._last_dispatches = {
             task: last for task, last in self._last_dispatches.items() if now - last[1] < REFUSED_ZONE_BACKOFF * 10
         }
@@ -213,8 +215,8 @@
         waiting = [self._job_index.jobs[ref] for ref in self._job_index.pending_jobs]
         stuck_gangs = [
             self._job_index.jobs[ref]
-            for ref in self._job_index.gangs & self._job_index.dispatched_jobs
-            if self._stuck(ref)
+            for ref in self._job_index.gang_jobs & self._job_index.dispatched_jobs
+            if self._is_stuck_gang(ref)
         ]
         self._fleet.capacity_requests = []
         if not waiting and not stuck_gangs:
@@ -224,7 +226,7 @@
         usage = self._usage()
         factors = self._weight_factors(waiting)
         now = self._clock.utc()
-        self._fleet.large_jobs.note(j.spec for j in waiting)
+        self._fleet.large_jobs.record(j.spec for j in waiting)
         escalated = {j.spec.ref for j in waiting if self._is_escalated(j, now)}
         order = in_order(
             (
@@ -232,7 +234,7 @@
                     j.spec.ref,
                     weight_of(j.spec, self._operators) * factors[j.spec.ref],
                     j.submitted,
-                    j.task_time_received,
+                    j.received_machine_time,
                     j.spec.shape is Shape.SERVICE,
                     j.spec.ref in escalated,
                 )
@@ -300,7 +302,7 @@
             self._fleet.capacity_request(job, without_room) for job, without_room in unplaced
         ]
         txns = [
-            self._leader_txn(PURPOSES[shape]).guard(key, self._record_writer.version(key)).put(key, page)
+            self._leader_txn(PURPOSE_BY_SHAPE[shape]).guard(key, self._record_writer.version(key)).put(key, page)
             for shape, key, page in batch.pages(self._job_index, self._record_writer.value_bytes)
         ]
         if txns or move_txns:
@@ -355,22 +357,22 @@
         dispatched = {ref for _, ref, _ in batch}
         unreserved_usage = usage.excluding_jobs(limit_reservations)
         with ignoring_reservations(views):
-            rooms = RoomCheck(views)
+            rooms = CapacityCheck(views)
             blocked = [
                 job
                 for job in waiting
                 if job.spec.ref not in dispatched
                 and _fits_limit(job, unreserved_usage)
-                and rooms.has_room(job.spec, _tasks_started_together(job))
+                and rooms.has_capacity(job.spec, _tasks_started_together(job))
                 and not self._failure_attribution.is_failing_job(job)
             ]
         self._blocked_by_reservation_since = {
             job.spec.ref: self._blocked_by_reservation_since.get(job.spec.ref, now) for job in blocked
         }
-        pending_accelerated = self._job_index.accelerated & self._job_index.pending_jobs
+        pending_accelerated = self._job_index.accelerator_jobs & self._job_index.pending_jobs
         unreserved_usage = usage.excluding_jobs(spec for spec in limit_reservations if spec.ref in long_reserved)
         with ignoring_reservations(
-            views, lambda view: view.held_for_gang in long_reserved, kept=not pending_accelerated
+            views, lambda view: view.held_for_gang in long_reserved, ignore_gpu_reserved=not pending_accelerated
         ):
             for job in blocked:
                 spec = job.spec
@@ -389,9 +391,9 @@
         spec = job.spec
         if spec.shape is not Shape.GANG:
             tasks_by_zone, tasks_by_machine = count_by_zone_and_machine(job)
-            chosen = place(spec, 1, able_for(job, views), tasks_by_zone, tasks_by_machine)
+            chosen = place(spec, 1, without_failed_machines(job, views), tasks_by_zone, tasks_by_machine)
             return [(t, DispatchTarget(v.zone, v.name)) for t, v in zip(job.pending_tasks(1), chosen, strict=False)]
-        chosen = place_gang(spec, able_for(job, views)) if job.pending_count() == spec.tasks else None
+        chosen = place_gang(spec, without_failed_machines(job, views)) if job.pending_count() == spec.tasks else None
         return [] if chosen is None else self._gang_rows_on_named_machines(job, chosen)
 
     def _weight_factors(self, waiting: list[Job]) -> dict[str, float]:
@@ -431,7 +433,7 @@
             tasks = job.pending_tasks(room)
             tasks_by_zone, tasks_by_machine = count_by_zone_and_machine(job)
             refused_zones = self._refused_zones(tasks)
-            able = able_for(job, views.outside(refused_zones) if refused_zones else views)
+            able = without_failed_machines(job, views.outside(refused_zones) if refused_zones else views)
             chosen = place(spec, room, able, tasks_by_zone, tasks_by_machine, self._fleet.price_limit(job))
             if len(chosen) < room and not (refused_zones or job.failed_on or spec.spread or spec.one_zone):
                 needs_without_room.add(needs)
@@ -485,7 +487,7 @@
                 limit_reservations.append(spec)
             return 0
         known_too_large = spec.tasks >= smallest_unplaced_gangs.get(needs, spec.tasks + 1)
-        chosen = None if known_too_large else place_gang(spec, able_for(job, views))
+        chosen = None if known_too_large else place_gang(spec, without_failed_machines(job, views))
         if chosen is None:
             if not job.failed_on:
                 smallest_unplaced_gangs[needs] = min(spec.tasks, smallest_unplaced_gangs.get(needs, spec.tasks))
@@ -535,7 +537,7 @@
         `exclude_arrays` no array at all starts on them.
         """
         spec = job.spec
-        suitable = sorted(fitting(spec, views), key=lambda v: v.tasks)
+        suitable = sorted(machines_that_fit_if_empty(spec, views), key=lambda v: v.tasks)
         picked = place_gang(spec, [with_services_only(v, self._placements_on(v)) for v in suitable])
         if picked is None:
             return
@@ -546,7 +548,7 @@
             usage.add(spec.team, spec.cpus, spec.gpus, spec.tasks)
             batch.add(job, self._gang_rows(job, picked))
 
-    def _stuck(self, ref: str) -> bool:
+    def _is_stuck_gang(self, ref: str) -> bool:
         """Whether a gang was dispatched more than STUCK_GANG_TIMEOUT ago and has not started."""
         job = self._job_index.jobs[ref]
         if job.placed_count():
@@ -606,12 +608,14 @@
     def _views(self) -> MachineSelection:
         """All usable machines of blocks that have a holder, less the room of placed and dispatched tasks."""
         self._reservations.release(
-            waived={ref for ref in self._job_index.gangs & self._job_index.dispatched_jobs if self._stuck(ref)}
+            waived={
+                ref for ref in self._job_index.gang_jobs & self._job_index.dispatched_jobs if self._is_stuck_gang(ref)
+            }
         )
         members = self._leadership.members
         served_zones = [zone for zone, grant in self._blocks.grants.items() if grant.holder in members]
-        views = self._view_cache.fresh().within(served_zones)
-        self._reservations.lose_machines(views)
+        views = self._view_cache.refreshed_views().within(served_zones)
+        self._reservations.release_unusable_machines(views)
         self._reservations.reserve(views)
         return views
 
@@ -667,9 +671,9 @@
             return
         self._snapshot_written_at = now
         rows = [
-            (j.spec.ref, round(j.task_time_received.total_seconds(), 1))
+            (j.spec.ref, round(j.received_machine_time.total_seconds(), 1))
             for j in self._job_index.jobs.values()
-            if j.task_time_received
+            if j.received_machine_time
         ]
         per_key = max(1, self._store.limits.value_bytes // 64)
         parts = [dict(rows[i : i + per_key]) for i in range(0, len(rows), per_key)]
--- a/kelpjunction/jobs/records.py
+++ b/kelpjunction/jobs/records.py
@@ -35,7 +35,7 @@
 
 
 PURPOSE_RANK = {purpose: n for n, purpose in enumerate(Purpose)}
-PURPOSES = {Shape.SERVICE: Purpose.SERVICE, Shape.GANG: Purpose.GANG, Shape.ARRAY: Purpose.ARRAY}
+PURPOSE_BY_SHAPE = {Shape.SERVICE: Purpose.SERVICE, Shape.GANG: Purpose.GANG, Shape.ARRAY: Purpose.ARRAY}
 
 
 def run_key(ref: str, number: int) -> str:
@@ -74,7 +74,7 @@
 
     def guarded(self, job: Job, purpose: Purpose | None = None) -> Transaction:
         """A transaction that fails if the job has been cancelled or has ended in the meantime."""
-        return Transaction(purpose or PURPOSES[job.spec.shape]).guard(JOB_PREFIX + job.spec.ref, job.version)
+        return Transaction(purpose or PURPOSE_BY_SHAPE[job.spec.shape]).guard(JOB_PREFIX + job.spec.ref, job.version)
 
     def end_transaction(self, job: Job) -> Transaction:
         """The transaction that replaces a job's records with its final record."""
@@ -132,7 +132,7 @@
         if outcome.status is CommitStatus.APPLIED:
             ended = {k: v for k, v in txn.puts.items() if k.startswith(END_PREFIX)}
             live = {k: v for k, v in txn.puts.items() if k.startswith(LIVE_PREFIX)}
-            self._mirror.put_outcome(live, txn.deletes, outcome.revision)
+            self._mirror.put_transaction(live, txn.deletes, outcome.revision)
             for key, value in ended.items():
                 log.info("job %s ended: %s", key.removeprefix(END_PREFIX), value["end"])
                 self._on_ended(key.removeprefix(END_PREFIX), value["end"])
--- a/kelpjunction/jobs/reserving.py
+++ b/kelpjunction/jobs/reservations.py
@@ -16,7 +16,10 @@
 
 
 class Reservations:
-    """The reserved tasks of each machine.  Only `clear`, `release`, `lose_machines` and `reserve` change them."""
+    """The reserved tasks of each machine.
+
+    Only `clear`, `release`, `release_unusable_machines` and `reserve` change them.
+    """
 
     def __init__(self, job_index: JobIndex, fleet: Fleet, views: ViewCache) -> None:
         self._job_index = job_index
@@ -80,7 +83,7 @@
             del self._specs_by_machine[machine]
         self._views.invalidate(machine)
 
-    def lose_machines(self, views: MachineSelection) -> None:
+    def release_unusable_machines(self, views: MachineSelection) -> None:
         """Release room on machines that can no longer take work."""
         for machine in [m for m in self._specs_by_machine if views.get(m) is None]:
             for task in list(self._specs_by_machine[machine]):
--- a/kelpjunction/jobs/views.py
+++ b/kelpjunction/jobs/views.py
@@ -15,7 +15,7 @@
 GPU_RESERVED_SHARE = 0.9
 
 
-def cached(images: Iterable[tuple[str, float]], cache_gb: float) -> set[str]:
+def expected_cached_images(images: Iterable[tuple[str, float]], cache_gb: float) -> set[str]:
     """The images that a machine's cache should still contain, given (image, GB) pairs, most recently used first."""
     kept: set[str] = set()
     for image, size in images:
@@ -56,7 +56,7 @@
         view = self._free_capacity.view(name)
         return None if view is None else view.zone
 
-    def fresh(self) -> MachineSelection:
+    def refreshed_views(self) -> MachineSelection:
         """All machines that can take work, without changes that an earlier round made to their views."""
         reservation_inputs = (self._fleet.catalog, [spec.needs for spec in self._fleet.recent_accelerator_specs])
         if reservation_inputs != self._reservation_inputs:
@@ -116,7 +116,7 @@
         tasks=len(load.placements),
         suspected=machine.suspected,
     )
-    if type_.gpus and not fleet.recent_accelerator_specs and fleet.plain_types:
+    if type_.gpus and not fleet.recent_accelerator_specs and fleet.has_types_without_accelerators:
         # The needs of accelerator work are not known yet, so nearly the whole machine is reserved for it.
         view.reserve_for_gpu_work(type_.cpus * GPU_RESERVED_SHARE, type_.gpus, type_.memory * GPU_RESERVED_SHARE)
     for spec in fleet.recent_accelerator_specs:
@@ -125,7 +125,7 @@
     return view
 
 
-def fitting(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView]:
+def machines_that_fit_if_empty(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView]:
     """The machines that could run a task of the job if they were empty."""
     cpus, gpus = spec.cpus - SLACK, spec.gpus - SLACK
     # In a large fleet few machine types suit a gang.  The first two comparisons rule out most machines.
@@ -139,7 +139,7 @@
     ]
 
 
-def able_for(job: Job, views: MachineSelection) -> MachineSelection:
+def without_failed_machines(job: Job, views: MachineSelection) -> MachineSelection:
     """The machines on which no task of the job has failed, or all machines if there are no such machines."""
     return views.avoiding(job.failed_on) if job.failed_on else views
 
@@ -169,18 +169,18 @@
 def ignoring_reservations(
     views: MachineSelection,
     ignore_gang_reservation: Callable[[MachineView], bool] = lambda view: True,
-    kept: bool = True,
+    ignore_gpu_reserved: bool = True,
 ) -> Iterator[None]:
     """Suspend reservations of these machines within the `with` block.
 
     Reservations for gangs are suspended on the machines for which `ignore_gang_reservation` returns true.  Capacity
-    reserved for accelerator work is suspended if `kept` is true.  Capacity that is allocated within the
+    reserved for accelerator work is suspended if `ignore_gpu_reserved` is true.  Capacity that is allocated within the
     block stays allocated.
     """
     reserved = [(v, v.held_for_gang, v.gpu_reserved_cpus, v.gpu_reserved_memory) for v in views.reserved()]
     for view, held_for, kept_cpus, kept_memory in reserved:
         now_held = None if held_for and ignore_gang_reservation(view) else held_for
-        view.set_reservation(now_held, *((0.0, 0.0) if kept else (kept_cpus, kept_memory)))
+        view.set_reservation(now_held, *((0.0, 0.0) if ignore_gpu_reserved else (kept_cpus, kept_memory)))
     try:
         yield
     finally:
@@ -188,7 +188,7 @@
             view.set_reservation(*what)
 
 
-class RoomCheck:
+class CapacityCheck:
     """Checks quickly whether a job can have room at all; computes the room for each kind of need only once.
 
     It is meant for views whose reservations are suspended by `ignoring_reservations`.  Of the rules on how
@@ -200,11 +200,11 @@
         self._views = views
         self._slots_by_needs: dict[tuple, int] = {}
 
-    def has_room(self, spec: JobSpec, tasks: int) -> bool:
+    def has_capacity(self, spec: JobSpec, tasks: int) -> bool:
         """Whether `tasks` tasks of the job have room at the same time."""
         needs = (*spec.needs, spec.one_zone)
         if needs not in self._slots_by_needs:
-            slots = self._views.slots(spec, whole=tasks > 1)
+            slots = self._views.slots(spec, count_all=tasks > 1)
             self._slots_by_needs[needs] = max(slots.values(), default=0) if spec.one_zone else slots.total()
         return self._slots_by_needs[needs] >= tasks
 
--- a/kelpjunction/lab/ledger_simulation.py
+++ b/kelpjunction/lab/ledger_simulation.py
@@ -12,8 +12,8 @@
 
 from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.lab.world import STORE, Node, World
-from kelpjunction.ledger.accounts import ResourceTime, rows_of, total
-from kelpjunction.ledger.audit import Replayed, audit
+from kelpjunction.ledger.accounts import ResourceTime, team_rows, total_by_team
+from kelpjunction.ledger.audit import ReplayResult, audit
 from kelpjunction.ledger.decay import FIXED_POINT_ONE
 from kelpjunction.ledger.reader import LedgerContents, read
 from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
@@ -45,19 +45,19 @@
 class LedgerCheck(NamedTuple):
     """The result of a simulation."""
 
-    books: LedgerContents
-    replayed: Replayed
+    contents: LedgerContents
+    replayed: ReplayResult
     ledger: dict[str, ResourceTime]
     observed_usage: dict[str, ResourceTime]
-    used: int  # number of priorities compared
-    wrong: list[FactorUse]  # priorities that differ from the replay
+    priorities_compared: int
+    problems: list[FactorUse]  # priorities that differ from the replay
     faults: int
     starts: int
     broken: list[str]
 
     @property
     def passed(self) -> bool:
-        return not (self.replayed.fault or self.wrong or self.broken) and self.ledger == self.observed_usage
+        return not (self.replayed.fault or self.problems or self.broken) and self.ledger == self.observed_usage
 
 
 class LedgerSimulation:
@@ -175,8 +175,8 @@
 
     def _recording_factor(self, node: Node):
         def factor(team: str) -> float:
-            value = node.ledger_keeper.factor(team)
-            self._used_factors.add(FactorUse(node.ledger_keeper.entry, team, value))
+            value = node.ledger_writer.factor(team)
+            self._used_factors.add(FactorUse(node.ledger_writer.last_entry_number, team, value))
             return value
 
         return factor
@@ -185,23 +185,23 @@
 
     def _check_ledger(self) -> LedgerCheck:
         world = self.world
-        books = read(next(node.store for node in world.nodes.values() if node is not None))
-        sums = {team: amounts for team, amounts in total(books.entries).items() if any(amounts)}
+        contents = read(next(node.store for node in world.nodes.values() if node is not None))
+        sums = {team: amounts for team, amounts in total_by_team(contents.entries).items() if any(amounts)}
         factors = {0: {}}
-        for entry in books.entries:
+        for entry in contents.entries:
             now = dict(factors[entry["n"] - 1])
             if entry["kind"] == "closing":
-                now |= {team: row.factor / FIXED_POINT_ONE for team, row in rows_of(entry).items()}
+                now |= {team: row.factor / FIXED_POINT_ONE for team, row in team_rows(entry).items()}
             factors[entry["n"]] = now
-        wrong = [u for u in self._used_factors if factors[u.entry].get(u.team, 1.0) != u.factor]
+        problems = [u for u in self._used_factors if factors[u.entry].get(u.team, 1.0) != u.factor]
         observed = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
         return LedgerCheck(
-            books,
-            audit(books),
+            contents,
+            audit(contents),
             sums,
             observed,
             len(self._used_factors),
-            wrong,
+            problems,
             self.faults,
             len(world.starts),
             world.broken,
--- a/kelpjunction/lab/live.py
+++ b/kelpjunction/lab/live.py
@@ -26,7 +26,7 @@
 from kelpjunction.lab.serving import HOST, REPORT_RESPONSE_TIMEOUT, Handle, Refused, ServedStore, machine_handle, serve
 from kelpjunction.lab.site import CLOUD_LIMITS, STORE_LIMITS, TEAMS, Site
 from kelpjunction.lab.worker import WorkerStandIn
-from kelpjunction.tickets.users import CANCEL_END, TICKETS_PATH
+from kelpjunction.tickets.users import CANCEL_SUFFIX, TICKETS_PATH
 from kelpjunction.transport import HttpTransport, NoResponse, Reply
 from kelpjunction.wire.workers import CHECK_IN_PATH
 
@@ -195,7 +195,7 @@
         method, path, body = {
             "submit": ("POST", TICKETS_PATH, argument),
             "show": ("GET", f"{TICKETS_PATH}/{argument}", None),
-            "cancel": ("POST", f"{TICKETS_PATH}/{argument}{CANCEL_END}", b"{}"),
+            "cancel": ("POST", f"{TICKETS_PATH}/{argument}{CANCEL_SUFFIX}", b"{}"),
         }[action]
         try:
             return self._transport.request(f"{HOST}:{self._port + GATEWAY_PORT}", method, path, body, USER_TIMEOUT)
--- a/kelpjunction/lab/scale/checker.py
+++ b/kelpjunction/lab/scale/checker.py
@@ -61,28 +61,28 @@
 
     # -- events and answers, with the time at which they happened -----------------
 
-    def process_began(self, name: str, at: float) -> None:
+    def add_process(self, name: str, at: float) -> None:
         """Expect events of a process from now on; nothing later than `at` is checked until it has sent them."""
         self._sent_upto[name] = at
 
-    def told_upto(self, name: str, upto: float, events: list[TaskEvent]) -> None:
+    def add_events(self, name: str, upto: float, events: list[TaskEvent]) -> None:
         """Take in the events of a process, which has now sent all its events up to `upto`."""
         for event in events:
             self._enqueue(event.at, lambda event=event: self._on_event(event))
         self._sent_upto[name] = upto
         self._check_due()
 
-    def machine_added(self, name: str, zone: str, spot: bool) -> None:
+    def add_machine(self, name: str, zone: str, spot: bool) -> None:
         self._machines[name] = Machine(zone, spot)
 
-    def submitted(self, job: dict) -> None:
+    def add_job(self, job: dict) -> None:
         """Register a job that its user is about to submit for the first time."""
         self._jobs[job["ref"]] = job
 
-    def asked_to_cancel(self, ref: str) -> None:
+    def add_cancel_request(self, ref: str) -> None:
         self._asked_to_cancel.add(ref)
 
-    def answered(self, at: float, ref: str, status: int, state: str | None) -> None:
+    def add_answer(self, at: float, ref: str, status: int, state: str | None) -> None:
         """Take in an answer to a user about a job: its HTTP status, and the job's state or None."""
         self._enqueue(at, lambda: self._on_answer(at, ref, status, state))
 
--- a/kelpjunction/lab/scale/run.py
+++ b/kelpjunction/lab/scale/run.py
@@ -110,7 +110,7 @@
             "seed": self.plan.seed + number,
         }
         name = f"hollow-{number}"
-        self.checker.process_began(name, time.monotonic())
+        self.checker.add_process(name, time.monotonic())
         child = Child(HOLLOW_MODULE, first, lambda fields: self._on_batch(name, Batch.of(fields)))
         self.meter.watch("workers", child.pid)
         return child
@@ -121,7 +121,7 @@
         self._state_figures = figures
 
     def _on_batch(self, name: str, batch: Batch) -> None:
-        self.checker.told_upto(name, batch.upto, batch.events)
+        self.checker.add_events(name, batch.upto, batch.events)
         self.measures.record_check_ins(batch.check_ins_ms, batch.failed_check_ins, batch.bytes_moved)
         for machine in batch.gone:
             if machine in self._removed:
@@ -131,7 +131,7 @@
 
     def make_worker(self, name: str, zone: str, spot: bool) -> HollowMachine:
         number = int(name.rpartition("-")[2])
-        self.checker.machine_added(name, zone, spot)
+        self.checker.add_machine(name, zone, spot)
         return HollowMachine(self, name, zone, spot, number % len(self._hollow_processes))
 
     def address_of(self, machine: HollowMachine, number: int) -> str:
--- a/kelpjunction/lab/scale/users.py
+++ b/kelpjunction/lab/scale/users.py
@@ -17,7 +17,7 @@
 from kelpjunction.lab.scale.measures import Measures
 from kelpjunction.lab.scale.plan import Load, ScalePlan
 from kelpjunction.transport import NoResponse, Transport
-from kelpjunction.wire.users import ABORT_END, JOBS_PATH
+from kelpjunction.wire.users import ABORT_SUFFIX, JOBS_PATH
 
 POLL_INTERVAL_S = 5.0
 RETRY_DELAY_S = 1.0
@@ -96,7 +96,7 @@
         }
         cancel_after = self._cancel_after(load, run_s)
         self._announce_job(job, run_s)
-        self._checker.submitted(job)
+        self._checker.add_job(job)
         if load.urgency == URGENT_PRIORITY:
             times = self._measures.first_urgent_start if initial else self._measures.urgent_start
             self._awaiting_start[job["ref"]] = (time.monotonic(), times)
@@ -157,8 +157,8 @@
         return state
 
     def _cancel(self, ref: str) -> str | None:
-        self._checker.asked_to_cancel(ref)
-        status, state = self._request("POST", f"{JOBS_PATH}/{ref}{ABORT_END}", b"{}", ref, USER_TIMEOUT)
+        self._checker.add_cancel_request(ref)
+        status, state = self._request("POST", f"{JOBS_PATH}/{ref}{ABORT_SUFFIX}", b"{}", ref, USER_TIMEOUT)
         if status != 200:
             gevent.sleep(RETRY_DELAY_S)
         return state
@@ -178,7 +178,7 @@
         except NoResponse:
             return None, None
         state = fields.get("tide") if status in (200, 201) else None
-        self._checker.answered(time.monotonic(), ref, status, state)
+        self._checker.add_answer(time.monotonic(), ref, status, state)
         return status, state
 
     def _on_task_start(self, ref: str, at: float) -> None:
--- a/kelpjunction/lab/site.py
+++ b/kelpjunction/lab/site.py
@@ -18,7 +18,7 @@
 from kelpjunction.lab.worker import WorkerStandIn
 from kelpjunction.settings import CloudLimits, Team, WorkerTimes
 from kelpjunction.transport import NoResponse
-from kelpjunction.wire.users import ABORT_END, JOBS_PATH
+from kelpjunction.wire.users import ABORT_SUFFIX, JOBS_PATH
 
 GUEST = Team("guest", 0.0, 0.0, None, None)
 TEAMS = (Team("red", 16.0, 0.0, 40.0, None), Team("blue", 16.0, 0.0, None, None), GUEST)
@@ -267,7 +267,7 @@
 
     def abort(self, ref: str, node: str | None = None) -> int | None:
         self.asked_to_cancel.add(ref)
-        status, answer = self._try_ask("POST", f"{JOBS_PATH}/{ref}{ABORT_END}", b"", node)
+        status, answer = self._try_ask("POST", f"{JOBS_PATH}/{ref}{ABORT_SUFFIX}", b"", node)
         self.service_level_tracker.asked(ref, status == 200, self.clock.now)
         if status == 404 and ref in self.last_told_state:
             self.broken.append(f"forgotten: {ref}")
--- a/kelpjunction/lab/ticket_simulation.py
+++ b/kelpjunction/lab/ticket_simulation.py
@@ -19,7 +19,7 @@
 from kelpjunction.jobs.job_index import END_PREFIX, JOB_PREFIX
 from kelpjunction.lab.usage_observer import UsageObserver
 from kelpjunction.lab.world import World
-from kelpjunction.ledger.accounts import ResourceTime, total
+from kelpjunction.ledger.accounts import ResourceTime, total_by_team
 from kelpjunction.ledger.reader import read
 from kelpjunction.settings import OperatorSettings, Team, load_operator_settings
 from kelpjunction.tickets.classes import RerunPolicy, TicketClass, TicketSettings
@@ -391,7 +391,7 @@
         if left := [k for k in data if k.startswith(PART_PREFIX)]:
             add_problem(f"parts left: {left}")
         ledger_contents = read(next(node.store for node in world.nodes.values() if node is not None))
-        ledger = {team: amounts for team, amounts in total(ledger_contents.entries).items() if any(amounts)}
+        ledger = {team: amounts for team, amounts in total_by_team(ledger_contents.entries).items() if any(amounts)}
         observed = {team: amounts for team, amounts in self.usage_observer.by_team().items() if any(amounts)}
         kinds = Counter(end["end"] for end in ends.values())
         problems = self.problems + world.broken
--- a/kelpjunction/lab/world.py
+++ b/kelpjunction/lab/world.py
@@ -32,7 +32,7 @@
     load_operator_settings,
 )
 from kelpjunction.transport import NoResponse, Reply
-from kelpjunction.wire.users import ABORT_END, JOBS_PATH
+from kelpjunction.wire.users import ABORT_SUFFIX, JOBS_PATH
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 STORE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
@@ -291,7 +291,7 @@
         """Deliver a copy of an old report to a node and discard the response."""
         node = self.nodes[name]
         if node is not None and name not in self.frozen:
-            node.check_in(orjson.dumps(fields))
+            node.handle_report(orjson.dumps(fields))
 
     def _replay_reports_to_new_leader(self) -> None:
         """Deliver the kept reports to every node as soon as a new leader's term begins."""
@@ -345,9 +345,9 @@
         body = orjson.dumps(fields)
         if name in self.frozen:
             # The report waits in the node's socket; the response will come after the worker's timeout.
-            self._waiting_packets.setdefault(name, []).append(lambda: node.check_in(body))
+            self._waiting_packets.setdefault(name, []).append(lambda: node.handle_report(body))
             raise NoResponse("the node is paused")
-        status, answer = node.check_in(body)
+        status, answer = node.handle_report(body)
         return status, orjson.loads(answer)
 
     # -- users ----------------------------------------------------------------
@@ -357,8 +357,8 @@
         ref = path.removeprefix(JOBS_PATH + "/")
         if path == JOBS_PATH:
             answer = intake.submit(body)
-        elif ref.endswith(ABORT_END):
-            answer = intake.abort(ref.removesuffix(ABORT_END))
+        elif ref.endswith(ABORT_SUFFIX):
+            answer = intake.abort(ref.removesuffix(ABORT_SUFFIX))
         else:
             answer = intake.status(ref)
         return answer.status, orjson.loads(answer.body)
--- a/kelpjunction/ledger/accounts.py
+++ b/kelpjunction/ledger/accounts.py
@@ -59,7 +59,7 @@
     share_without_guarantee: int  # in thousandths of a weighted CPU
 
     @classmethod
-    def of(cls, settings: LedgerSettings, teams: Mapping[str, Team]) -> "Policy":
+    def from_settings(cls, settings: LedgerSettings, teams: Mapping[str, Team]) -> "Policy":
         weights = tuple(
             round(settings.weights[name] * THOUSANDTHS_PER_UNIT) for name in ("cpu", "accelerator", "memory_gb")
         )
@@ -148,7 +148,7 @@
     factor: int
 
 
-def close(page: BalancePage, at: int, revision: int,
+def close_page(page: BalancePage, at: int, revision: int,
           now: Mapping[str, tuple[ResourceTime, ResourceTime]], policy: Policy,
           teams: Mapping[str, Team]) -> tuple[BalancePage, dict[str, TeamRow]]:  # fmt: skip
     """Close a page at `at` (ms since the epoch) and return the new page and its rows.
@@ -183,14 +183,14 @@
 # -- entries and their chain --------------------------------------------------------
 
 
-def digest(entry: Mapping) -> str:
+def entry_hash(entry: Mapping) -> str:
     """The hash of an entry: BLAKE2b of the canonical JSON of all its fields except `hash`."""
     unhashed = {name: value for name, value in entry.items() if name != "hash"}
     return hashlib.blake2b(orjson.dumps(unhashed, option=orjson.OPT_SORT_KEYS), digest_size=20).hexdigest()
 
 
 def _with_hash(entry: dict) -> dict:
-    return entry | {"hash": digest(entry)}
+    return entry | {"hash": entry_hash(entry)}
 
 
 def settings_entry(number: int, previous: str, at: int, policy: Policy, by: str) -> dict:
@@ -209,15 +209,15 @@
     })  # fmt: skip
 
 
-def rows_of(entry: Mapping) -> dict[str, TeamRow]:
+def team_rows(entry: Mapping) -> dict[str, TeamRow]:
     """The teams' rows of a closing entry, by team."""
     return {name: TeamRow(ResourceTime(*row[:3]), *row[3:]) for name, row in entry["teams"].items()}
 
 
-def total(entries: Iterable[Mapping]) -> dict[str, ResourceTime]:
+def total_by_team(entries: Iterable[Mapping]) -> dict[str, ResourceTime]:
     """The machine time that these entries charge, by team."""
     sums: dict[str, ResourceTime] = {}
     for entry in entries:
-        for name, row in rows_of(entry).items() if entry["kind"] == "closing" else ():
+        for name, row in team_rows(entry).items() if entry["kind"] == "closing" else ():
             sums[name] = sums.get(name, ResourceTime()) + row.resource_time
     return sums
--- a/kelpjunction/ledger/audit.py
+++ b/kelpjunction/ledger/audit.py
@@ -3,29 +3,29 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from kelpjunction.ledger.accounts import Balance, BalancePage, Policy, apply_charge, digest, rows_of
+from kelpjunction.ledger.accounts import Balance, BalancePage, Policy, apply_charge, entry_hash, team_rows
 from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
 
 
-class Fault(NamedTuple):
+class AuditFault(NamedTuple):
     """The first entry that fails the audit, and the reason."""
 
     number: int
-    why: str
+    reason: str
 
     def __str__(self) -> str:
-        return f"entry {self.number}: {self.why}"
+        return f"entry {self.number}: {self.reason}"
 
 
-class Replayed(NamedTuple):
+class ReplayResult(NamedTuple):
     """The result of a replay: the state after the last valid entry, the number of factors compared, and any fault."""
 
     base: LedgerSnapshot
     factors: int
-    fault: Fault | None
+    fault: AuditFault | None
 
 
-def check_chain(base: LedgerSnapshot, entries: Iterable[Mapping]) -> Fault | None:
+def check_chain(base: LedgerSnapshot, entries: Iterable[Mapping]) -> AuditFault | None:
     """Check that entry numbers are consecutive and that each entry has its own correct hash and the previous hash.
 
     Returns the first fault, or None.
@@ -33,19 +33,19 @@
     number, previous = base.number, base.hash
     for entry in entries:
         if entry["n"] == number:
-            return Fault(number, "occurs twice")
+            return AuditFault(number, "occurs twice")
         if entry["n"] != number + 1:
-            return Fault(number + 1, f"is missing: entry {entry['n']} comes next")
+            return AuditFault(number + 1, f"is missing: entry {entry['n']} comes next")
         number += 1
         if entry["prev"] != previous:
-            return Fault(number, "does not follow the entry before it")
-        if digest(entry) != entry["hash"]:
-            return Fault(number, "was changed: its hash does not match its content")
+            return AuditFault(number, "does not follow the entry before it")
+        if entry_hash(entry) != entry["hash"]:
+            return AuditFault(number, "was changed: its hash does not match its content")
         previous = entry["hash"]
     return None
 
 
-def replay(base: LedgerSnapshot, entries: Iterable[Mapping]) -> Replayed:
+def replay(base: LedgerSnapshot, entries: Iterable[Mapping]) -> ReplayResult:
     """Recompute every balance and factor, and compare them bit for bit; stops at the first fault."""
     policy, pages = base.policy, dict(base.pages)
     last, factors = (base.number, base.hash), 0
@@ -59,9 +59,9 @@
             pages[entry["page"]], compared, fault = _replay_closing(pages.get(entry["page"]), entry, policy)
             factors += compared
         if fault is not None:
-            return Replayed(LedgerSnapshot(*last, policy, pages), factors, Fault(entry["n"], fault))
+            return ReplayResult(LedgerSnapshot(*last, policy, pages), factors, AuditFault(entry["n"], fault))
         last = entry["n"], entry["hash"]
-    return Replayed(LedgerSnapshot(*last, policy, pages), factors, None)
+    return ReplayResult(LedgerSnapshot(*last, policy, pages), factors, None)
 
 
 def _replay_closing(page: BalancePage | None, entry: Mapping, policy: Policy) -> tuple[BalancePage, int, str | None]:
@@ -70,7 +70,7 @@
         return page, 0, f"begins at {entry['since']}, but its page was last closed at {page.closed_at_ms}"
     if entry["t"] <= page.closed_at_ms:
         return page, 0, "ends before it begins"
-    rows = rows_of(entry)
+    rows = team_rows(entry)
     balances = dict(page.balances)
     for name, row in rows.items():
         before = balances.get(name, Balance())
@@ -87,7 +87,7 @@
     return BalancePage(entry["t"], entry["r"], balances), len(rows), None
 
 
-def audit(contents: LedgerContents) -> Replayed:
+def audit(contents: LedgerContents) -> ReplayResult:
     """Check the chain and replay the entries; for a ledger from the state service, also check its head and pages."""
     chain_fault = check_chain(contents.base, contents.entries)
     valid_entries = (
@@ -97,7 +97,7 @@
     fault = result.fault or chain_fault
     if fault is None and contents.head is not None:
         if (contents.head["n"], contents.head["hash"]) != (result.base.number, result.base.hash):
-            fault = Fault(
+            fault = AuditFault(
                 contents.head["n"], f"the head refers to it, but the last valid entry is {result.base.number}"
             )
         elif contents.pages is not None:
@@ -105,13 +105,13 @@
     return result._replace(fault=fault)
 
 
-def _compare_pages(pages: Mapping[int, BalancePage], base: LedgerSnapshot) -> Fault | None:
+def _compare_pages(pages: Mapping[int, BalancePage], base: LedgerSnapshot) -> AuditFault | None:
     for number, page in pages.items():
         recomputed = base.pages.get(number)
         for name, balance in page.balances.items():
             found = recomputed.balances.get(name, Balance()) if recomputed else Balance()
             if (balance.decayed_usage, balance.factor) != (found.decayed_usage, found.factor):
-                return Fault(
+                return AuditFault(
                     base.number, f"team {name}: the stored balance differs from the one that results from the entries"
                 )
     return None
--- a/kelpjunction/ledger/report.py
+++ b/kelpjunction/ledger/report.py
@@ -9,8 +9,8 @@
 from jinja2 import Environment
 from matplotlib.figure import Figure
 
-from kelpjunction.ledger.accounts import UNIT_HOUR, Policy, ResourceTime, rows_of
-from kelpjunction.ledger.audit import Replayed
+from kelpjunction.ledger.accounts import UNIT_HOUR, Policy, ResourceTime, team_rows
+from kelpjunction.ledger.audit import ReplayResult
 from kelpjunction.ledger.decay import FIXED_POINT_ONE, steady_state_usage
 from kelpjunction.ledger.reader import LedgerContents
 
@@ -60,7 +60,7 @@
             policy = Policy.parse(entry["policy"])
             continue
         at = datetime.fromtimestamp(entry["t"] / 1000, UTC)
-        for name, row in rows_of(entry).items():
+        for name, row in team_rows(entry).items():
             usage_ratio = row.decayed_usage / steady_state_usage(max(1, row.share), policy.half_life)
             found.setdefault(name, []).append(
                 _Point(at, row.resource_time, row.share, usage_ratio, row.factor / FIXED_POINT_ONE)
@@ -92,7 +92,7 @@
     return sums
 
 
-def html(contents: LedgerContents, replayed: Replayed) -> str:
+def render_report(contents: LedgerContents, replayed: ReplayResult) -> str:
     """The report of a ledger and of its audit, as an HTML document."""
     histories, policy = _team_histories(contents)
     teams = []
--- a/kelpjunction/ledger/writer.py
+++ b/kelpjunction/ledger/writer.py
@@ -28,7 +28,7 @@
     BalancePage,
     Policy,
     ResourceTime,
-    close,
+    close_page,
     closing_entry,
     resource_time,
     settings_entry,
@@ -115,7 +115,7 @@
         self._node = platform.node
         self._teams = platform.teams
         self._period = settings.period
-        self._policy = Policy.of(settings, platform.teams)
+        self._policy = Policy.from_settings(settings, platform.teams)
         self._store = store
         self._mirror = mirror
         self._job_index = job_index
@@ -138,7 +138,7 @@
         return self._factors.get(team, 1.0)
 
     @property
-    def entry(self) -> int:
+    def last_entry_number(self) -> int:
         """The number of the last entry that this node's factors include."""
         return self._head.number
 
@@ -180,7 +180,7 @@
         self._checked_revision = 0
         self._set_state(WriterState.ACTIVE, f"at entry {self._head.number}")
 
-    def _read_ended(self) -> dict[str, EndedJob]:
+    def _read_ended_jobs(self) -> dict[str, EndedJob]:
         """All jobs that ended after the head's revision; ended jobs are charged on every page up to it."""
         found = self._store.watch(END_PREFIX, self._head.revision, ZERO, self._transport)
         if found is None:
@@ -222,7 +222,7 @@
             number = self._head.number + 1
             entry = settings_entry(number, self._head.hash, at, self._policy, self._author(leader_term))
             self._write(leader_term, [entry], {}, self._head.revision)
-        elif self._job_index.metered or self._mirror.revision != self._checked_revision:
+        elif self._job_index.metered_jobs or self._mirror.revision != self._checked_revision:
             self._next_run_at = self._clock.steady() + min(self._period, MAX_CHECK_INTERVAL)
             self._close(leader_term, at)
 
@@ -232,7 +232,7 @@
     def _close(self, leader_term: LeaderTerm, at: int) -> None:
         revision = self._mirror.revision
         unfinished = self._unfinished_usage(at)
-        ended = self._read_ended()
+        ended = self._read_ended_jobs()
         usage = self._usage_by_team(revision, unfinished, ended)
         to_close, changed_not_due = self._select_pages(at, usage)
         # A page with changes that is not due yet must be checked again, even if the mirror does not change.
@@ -245,7 +245,7 @@
         pages: dict[int, BalancePage] = {}
         for page_number, due_teams in to_close.items():
             before = self._pages.get(page_number) or BalancePage(0, self._head.revision, {})
-            page, rows = close(
+            page, rows = close_page(
                 before, at, revision, {n: usage[n] for n in due_teams if n in usage}, self._policy, self._teams
             )
             number += 1
@@ -267,7 +267,7 @@
         """The machine time of each unfinished job until `at` (ms since the epoch), with its team, by job id."""
         until = EPOCH + at * MILLISECOND
         found = {}
-        for ref in self._job_index.metered:
+        for ref in self._job_index.metered_jobs:
             job = self._job_index.jobs[ref]
             spec = job.spec
             found[ref] = spec.team, resource_time(spec.cpus, spec.gpus, spec.memory, job.machine_time_ms(until))
--- a/kelpjunction/logs.py
+++ b/kelpjunction/logs.py
@@ -11,7 +11,7 @@
 _MACHINE_ID = re.compile(r"\bn-[0-9]+")
 
 
-def set_up(level: str, form: str, node: str, term: Callable[[], int | None]) -> None:
+def configure_logging(level: str, form: str, node: str, term: Callable[[], int | None]) -> None:
     """Send the log to standard error; raises `ValueError` that names an environment variable with an invalid value."""
     for variable, value, allowed in (("LOG_LEVEL", level, LEVELS), ("LOG_FORMAT", form, FORMATS)):
         if value not in allowed:
--- a/kelpjunction/metrics.py
+++ b/kelpjunction/metrics.py
@@ -77,8 +77,10 @@
         yield _labelled_counter(
             "kelpjunction_reports_refused", "Reports that got no 200, by ground.", "ground", decisions.refusals
         )
-        if node.ledger_keeper is not None:
-            yield GaugeMetricFamily("kelpjunction_ledger_entry", "The last entry known.", node.ledger_keeper.entry)
+        if node.ledger_writer is not None:
+            yield GaugeMetricFamily(
+                "kelpjunction_ledger_entry", "The last entry known.", node.ledger_writer.last_entry_number
+            )
 
 
 def _labelled_counter(name: str, text: str, label: str, counts: Mapping[Enum, float]) -> CounterMetricFamily:
--- a/kelpjunction/placement/free_capacity.py
+++ b/kelpjunction/placement/free_capacity.py
@@ -43,7 +43,7 @@
 class MachineBucket:
     """Machines that differ only in their names and images."""
 
-    __slots__ = ("arriving", "images", "kind", "names", "order", "profile")
+    __slots__ = ("fetching_images", "images", "kind", "names", "order", "profile")
 
     def __init__(self, kind: MachineKind, profile: _MachineProfile, order: tuple[float, int]) -> None:
         self.kind = kind
@@ -51,7 +51,7 @@
         self.order = order  # position in its kind: by free CPUs, then by creation
         self.names = SortedList()
         self.images: dict[str, SortedList] = {}  # names of the machines that have an image
-        self.arriving: dict[str, SortedList] = {}  # names of the machines that are fetching an image
+        self.fetching_images: dict[str, SortedList] = {}  # names of the machines that are fetching an image
 
     def fits(self, spec: JobSpec) -> bool:
         """Whether each machine has room for one more task.  The caller has already compared the free CPUs."""
@@ -70,11 +70,11 @@
 
     def fetching(self, image: str) -> Iterable[str]:
         """The sorted names of the machines that are fetching an image."""
-        return self.arriving.get(image, ())
+        return self.fetching_images.get(image, ())
 
     def without_image(self, image: str) -> Iterable[str]:
         """The sorted names of the machines that neither have nor are fetching an image."""
-        with_it, fetching_it = self.images.get(image, ()), self.arriving.get(image, ())
+        with_it, fetching_it = self.images.get(image, ()), self.fetching_images.get(image, ())
         if not with_it and not fetching_it:
             return self.names
         if len(with_it) + len(fetching_it) == len(self.names):
@@ -87,7 +87,7 @@
 
     bucket: MachineBucket
     images: frozenset[str]
-    arriving: frozenset[str]
+    fetching_images: frozenset[str]
 
 
 class FreeCapacityIndex:
@@ -166,7 +166,7 @@
             view.held_for_gang,
         )
         images = frozenset(view.images)
-        arriving = view.fetching_images - images
+        fetching_images = view.fetching_images - images
         entry = self._entries.get(view.name)
         if entry is not None:
             bucket = entry.bucket
@@ -174,7 +174,7 @@
                 profile == bucket.profile
                 and kind == bucket.kind
                 and images == entry.images
-                and arriving == entry.arriving
+                and fetching_images == entry.fetching_images
             ):
                 return  # unchanged, as most views are when the reservations for accelerator work change
             self._remove_view(view.name)
@@ -185,17 +185,17 @@
         bucket.names.add(view.name)
         for image in images:
             bucket.images.setdefault(image, SortedList()).add(view.name)
-        for image in arriving:
-            bucket.arriving.setdefault(image, SortedList()).add(view.name)
-        self._entries[view.name] = _IndexEntry(bucket, images, frozenset(arriving))
+        for image in fetching_images:
+            bucket.fetching_images.setdefault(image, SortedList()).add(view.name)
+        self._entries[view.name] = _IndexEntry(bucket, images, frozenset(fetching_images))
 
     def _remove_view(self, name: str) -> None:
         entry = self._entries.pop(name, None)
         if entry is None:
             return
-        bucket, images, arriving = entry
+        bucket, images, fetching_images = entry
         bucket.names.remove(name)
-        for machines_by_image, entry_images in ((bucket.images, images), (bucket.arriving, arriving)):
+        for machines_by_image, entry_images in ((bucket.images, images), (bucket.fetching_images, fetching_images)):
             for image in entry_images:
                 machines_by_image[image].remove(name)
                 if not machines_by_image[image]:
@@ -209,8 +209,8 @@
 class MachineSelection:
     """The machines that may be chosen.  Narrowing a selection is cheap; a choice costs only the buckets that it reads.
 
-    `ready` is evaluated only for a machine that would be chosen next.  Free
-    room per zone does not take it into account, so a selection with `ready`
+    `is_ready` is evaluated only for a machine that would be chosen next.  Free
+    room per zone does not take it into account, so a selection with `is_ready`
     should contain a single zone.
     """
 
@@ -218,8 +218,8 @@
     zones: frozenset[str] | None = None
     excluded_zones: frozenset[str] = frozenset()
     excluded_machines: frozenset[str] = frozenset()
-    kinds: Callable[[MachineKind], bool] | None = None
-    ready: Callable[[MachineView], bool] | None = None
+    kind_filter: Callable[[MachineKind], bool] | None = None
+    is_ready: Callable[[MachineView], bool] | None = None
 
     def within(self, zones: Iterable[str]) -> "MachineSelection":
         """The machines of this selection that are in the given zones."""
@@ -232,8 +232,8 @@
 
     def of_kinds(self, kinds: Callable[[MachineKind], bool]) -> "MachineSelection":
         """The machines of this selection whose kind satisfies a predicate."""
-        previous = self.kinds
-        return replace(self, kinds=kinds if previous is None else lambda kind: previous(kind) and kinds(kind))
+        previous = self.kind_filter
+        return replace(self, kind_filter=kinds if previous is None else lambda kind: previous(kind) and kinds(kind))
 
     def avoiding(self, names: Iterable[str]) -> "MachineSelection":
         """This selection without the named machines, or all of it if no others remain."""
@@ -255,13 +255,13 @@
 
     def admits(self, view: MachineView) -> bool:
         """Whether a machine, whose kind was admitted already, is in this selection."""
-        return view.name not in self.excluded_machines and (self.ready is None or self.ready(view))
+        return view.name not in self.excluded_machines and (self.is_ready is None or self.is_ready(view))
 
     def _admits_kind(self, kind: MachineKind) -> bool:
         return (
             (self.zones is None or kind.zone in self.zones)
             and kind.zone not in self.excluded_zones
-            and (self.kinds is None or self.kinds(kind))
+            and (self.kind_filter is None or self.kind_filter(kind))
         )
 
     def by_kind(self, spec: JobSpec) -> Iterator[tuple[MachineKind, list[MachineBucket]]]:
@@ -294,15 +294,15 @@
         views = (self.index.view(name) for bucket in self.buckets(spec) for name in bucket.names)
         return [view for view in views if self.admits(view)]
 
-    def slots(self, spec: JobSpec, whole: bool) -> Counter[str]:
+    def slots(self, spec: JobSpec, count_all: bool) -> Counter[str]:
         """How many more tasks of the job each zone has room for now.
 
-        Each machine counts for at most one task unless `whole` is set.
+        Each machine counts for at most one task unless `count_all` is set.
         Machines that are excluded by name are counted as well.
         """
         slots: Counter[str] = Counter()
         for bucket in self.buckets(spec):
-            slots_per_machine = self.index.view(bucket.names[0]).capacity(spec) if whole else 1
+            slots_per_machine = self.index.view(bucket.names[0]).capacity(spec) if count_all else 1
             slots[bucket.kind.zone] += slots_per_machine * len(bucket.names)
         return slots
 
--- a/kelpjunction/placement/gangs.py
+++ b/kelpjunction/placement/gangs.py
@@ -12,7 +12,7 @@
 def place_gang(spec: JobSpec, views: Iterable[MachineView]) -> list[MachineView] | None:
     """Choose machines for a whole gang, one entry per task, or return None if it does not fit."""
     selection = selection_of(views)
-    if selection.slots(spec, whole=True).total() < spec.tasks:
+    if selection.slots(spec, count_all=True).total() < spec.tasks:
         return None  # the usual case on a busy fleet, found without examining single machines
     usable = selection.usable(spec)
     by_zone: dict[str, list[MachineView]] = {}
--- a/kelpjunction/queue/__init__.py
+++ b/kelpjunction/queue/__init__.py
@@ -41,17 +41,17 @@
 
 def weight_factors(
     waiting: Mapping[str, Collection[str]],
-    claims: Mapping[str, Iterable[JobDemand]],
+    demands: Mapping[str, Iterable[JobDemand]],
     teams: dict[str, Team],
-    factor: Callable[[str], float] = lambda team: 1.0,
+    shared_weight_factor: Callable[[str], float] = lambda team: 1.0,
 ) -> dict[str, float]:
     """The fraction of its weight that each waiting job keeps, by job ref.
 
     A job keeps all of it if it fits its team's guarantee together with the
     team's earlier unfinished jobs.  The team's other waiting jobs share one
     weight, so that a large number of them can't crowd out other teams.
-    `factor` gives the fraction of this shared weight that a team keeps, based
-    on its past usage.  `claims` has each team's unfinished jobs, earliest
+    `shared_weight_factor` gives the fraction of this shared weight that a team keeps, based
+    on its past usage.  `demands` has each team's unfinished jobs, earliest
     first, and is read only until the guarantee is exceeded.
     """
     kept: dict[str, float] = {}
@@ -59,26 +59,26 @@
         team = teams.get(name)
         if team is None:
             continue
-        within = _jobs_within_guarantee(team, claims[name])
+        within = _jobs_within_guarantee(team, demands[name])
         exceeding = [ref for ref in refs if ref not in within]
         kept.update(dict.fromkeys(refs, 1.0))
-        kept.update(dict.fromkeys(exceeding, factor(name) / max(1, len(exceeding))))
+        kept.update(dict.fromkeys(exceeding, shared_weight_factor(name) / max(1, len(exceeding))))
     return kept
 
 
-def _jobs_within_guarantee(team: Team, claims: Iterable[JobDemand]) -> set[str]:
+def _jobs_within_guarantee(team: Team, demands: Iterable[JobDemand]) -> set[str]:
     """The jobs that fit the team's guarantee together with all jobs before them."""
     within: set[str] = set()
     if team.without_guarantee:
         return within  # every job of a team without a guarantee exceeds it
     cpus = gpus = 0.0
-    for claim in claims:
-        cpus += claim.cpus
-        gpus += claim.gpus
+    for demand in demands:
+        cpus += demand.cpus
+        gpus += demand.gpus
         # A guarantee of 0 for one resource means none for it, so it is never exceeded.
         if (team.cpus and cpus > team.cpus + SLACK) or (team.gpus and gpus > team.gpus + SLACK):
             break  # the sums only grow, so later jobs exceed the guarantee as well
-        within.add(claim.ref)
+        within.add(demand.ref)
     return within
 
 
@@ -144,7 +144,7 @@
         self._teams = teams
         self._largest: dict[str, float] = {}
 
-    def note(self, specs: Iterable[JobSpec]) -> None:
+    def record(self, specs: Iterable[JobSpec]) -> None:
         """Take these jobs into account for the largest demand of each class."""
         for spec in specs:
             self._largest[spec.klass] = max(self._largest.get(spec.klass, 0.0), total_demand(spec))
@@ -192,8 +192,8 @@
             left.add(spec.team, spec.cpus, spec.gpus, -spec.tasks)
         return left
 
-    def startable_tasks(self, team: str, cpus: float, gpus: float, most: int) -> int:
-        """How many more tasks of this size the team may start within its limits, at most `most`."""
+    def startable_tasks(self, team: str, cpus: float, gpus: float, max_tasks: int) -> int:
+        """How many more tasks of this size the team may start within its limits, at most `max_tasks`."""
         limits = self.teams.get(team)
         if limits is None:
             return 0
@@ -202,11 +202,11 @@
             (gpus, limits.gpus_max, self.gpus.get(team, 0.0)),
         ):
             if limit is not None and per_task > 0:
-                most = min(most, int((limit - used + SLACK) / per_task))
-        return max(0, most)
+                max_tasks = min(max_tasks, int((limit - used + SLACK) / per_task))
+        return max(0, max_tasks)
 
 
-def over_limit(team: Team, cpus: float, gpus: float, count: int) -> bool:
+def exceeds_limit(team: Team, cpus: float, gpus: float, count: int) -> bool:
     """Whether `count` tasks at once exceed the team's limit even if nothing else of the team runs."""
     return (team.cpus_max is not None and cpus * count > team.cpus_max + SLACK) or (
         team.gpus_max is not None and gpus * count > team.gpus_max + SLACK
--- a/kelpjunction/renewal.py
+++ b/kelpjunction/renewal.py
@@ -16,7 +16,7 @@
                                             must pass the check
     known_until < confirmed                 for each cancellation that the node does not know
 
-    =>  gone < confirmed + (grace + lease) * DRIFT + kill  <=  confirmed + cancel
+    =>  gone < confirmed + (grace + lease) * CLOCK_DRIFT_FACTOR + kill  <=  confirmed + cancel
 
 `known_until` is a time on this node's clock before it sent the request that returned the current
 state, however long the answer took. It is the start of a watch, even if that watch waited through a
@@ -31,12 +31,12 @@
 
 from kelpjunction.clock import ZERO, seconds
 
-DRIFT = 1.001  # each of two steady clocks may be off by 0.05%, so twice that
+CLOCK_DRIFT_FACTOR = 1.001  # each of two steady clocks may be off by 0.05%, so twice that
 WORKER_KILL_TIMEOUT = seconds(1.5)  # how long a worker may take to end its tasks after its lease ends
 MAX_WATCH_TIMEOUT = seconds(2)  # how long a watch waits for changes
 MIN_WATCH_TIMEOUT = seconds(0.05)
 # Room for a watch, a pause and the next watch. With less, each brief fault of the state service ends leases.
-MIN_COMFORTABLE_GRACE = 2 * MAX_WATCH_TIMEOUT
+MIN_RECOMMENDED_GRACE_PERIOD = 2 * MAX_WATCH_TIMEOUT
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     @property
     def _margin(self) -> timedelta:
         """The part of the cancellation timeout that remains after a lease, with clock drift allowed for."""
-        return self.cancel_timeout / DRIFT - self.lease
+        return self.cancel_timeout / CLOCK_DRIFT_FACTOR - self.lease
 
     @property
     def grace_period(self) -> timedelta:
@@ -72,7 +72,7 @@
     @property
     def grace_period_short(self) -> bool:
         """Whether the platform's settings leave so little time that a pause of the state service ends leases."""
-        return self.grace_period < MIN_COMFORTABLE_GRACE
+        return self.grace_period < MIN_RECOMMENDED_GRACE_PERIOD
 
     @property
     def watch_timeout(self) -> timedelta:
--- a/kelpjunction/store/client.py
+++ b/kelpjunction/store/client.py
@@ -141,17 +141,17 @@
 class StoreClient:
     """One node's connection to the state service: reads, rate-limited transactions and store leases.
 
-    `share` is the fraction of the write rate in `limits` that this process may use.
+    `write_share` is the fraction of the write rate in `limits` that this process may use.
     """
 
     def __init__(
-        self, transport: Transport, address: str, limits: StoreLimits, clock: Clock, sleep, share: float
+        self, transport: Transport, address: str, limits: StoreLimits, clock: Clock, sleep, write_share: float
     ) -> None:
         self._transport = transport
         self._address = address
         self._clock = clock
         self._sleep = sleep
-        self.rate_limiter = WriteRateLimiter(limits.write_rps * share, clock.steady())
+        self.rate_limiter = WriteRateLimiter(limits.write_rps * write_share, clock.steady())
         self.limits = limits
         self._logged_state, self._state_logged_at = LimiterState.UNTHROTTLED, clock.steady()
         self.reachability = StoreReachability.REACHABLE
@@ -194,7 +194,7 @@
         The caller passes a separate transport, because a watch occupies its
         connection while it waits.
         """
-        path = wire.follow_path(prefix, since, round(wait.total_seconds() * 1000))
+        path = wire.watch_path(prefix, since, round(wait.total_seconds() * 1000))
         self.requests += 1
         try:
             reply = transport.request(self._address, "GET", path, None, wait + timedelta(seconds=3))
@@ -202,7 +202,7 @@
             raise StoreUnavailable(str(error)) from error
         if reply.status == 410:
             return None
-        return self._parse(self._check_status(reply), wire.parse_news)
+        return self._parse(self._check_status(reply), wire.parse_changes)
 
     # -- writing ------------------------------------------------------------
 
--- a/kelpjunction/store/mirror.py
+++ b/kelpjunction/store/mirror.py
@@ -35,10 +35,10 @@
         clock: Clock,
         transport: Transport,
         prefix: str = LIVE_PREFIX,
-        watch: timedelta = MAX_WATCH_TIMEOUT,
+        watch_timeout: timedelta = MAX_WATCH_TIMEOUT,
     ) -> None:
         self._prefix = prefix
-        self._watch_timeout = watch  # how long one watch request waits for changes
+        self._watch_timeout = watch_timeout  # how long one watch request waits for changes
         self._store = store
         self._clock = clock
         self._transport = transport
@@ -74,7 +74,7 @@
         entry = self._entries.get(key)
         return entry.version if entry else 0
 
-    def below(self, prefix: str) -> list[Change]:
+    def entries_below(self, prefix: str) -> list[Change]:
         return [e for k, e in self._entries.items() if k.startswith(prefix)]
 
     def load(self) -> None:
@@ -153,7 +153,7 @@
         elif old is not None:
             self.put(key, None, old.version + 1)
 
-    def put_outcome(self, puts: dict[str, Any], deletes, revision: int) -> None:
+    def put_transaction(self, puts: dict[str, Any], deletes, revision: int) -> None:
         """Put in the changes of this node's own transaction, applied at `revision`."""
         for key, value in puts.items():
             self.put(key, value, revision)
--- a/kelpjunction/tickets/gateway.py
+++ b/kelpjunction/tickets/gateway.py
@@ -17,9 +17,9 @@
 
 from kelpjunction.changes import ChangeTracker
 from kelpjunction.clock import Clock, SystemClock, seconds
-from kelpjunction.daemon import GC_THRESHOLDS, PAUSE_AFTER_TROUBLE, sleep
+from kelpjunction.daemon import ERROR_RETRY_DELAY, GC_THRESHOLDS, sleep
 from kelpjunction.fleet.cloud import CATALOG_KEY
-from kelpjunction.http import body_of, not_allowed, respond, server
+from kelpjunction.http import create_server, method_not_allowed, read_body, respond
 from kelpjunction.intake import UserResponse
 from kelpjunction.jobs.job_index import JobIndex
 from kelpjunction.leadership import Leadership, LeaderTerm
@@ -147,15 +147,15 @@
         if path == HEALTH_PATH:
             return UserResponse(200 if self._gateway.healthy else 503, b"{}")
         if path == users.TICKETS_PATH:
-            return requests.submit(body_of(environ)) if method == "POST" else not_allowed()
+            return requests.submit(read_body(environ)) if method == "POST" else method_not_allowed()
         if path.startswith(users.TICKETS_PATH + "/"):
             name = path.removeprefix(users.TICKETS_PATH + "/")
-            if name.endswith(users.CANCEL_END):
+            if name.endswith(users.CANCEL_SUFFIX):
                 if method != "POST":
-                    return not_allowed()
-                body_of(environ)
-                return requests.cancel(name.removesuffix(users.CANCEL_END))
-            return requests.show(name) if method == "GET" else not_allowed()
+                    return method_not_allowed()
+                read_body(environ)
+                return requests.cancel(name.removesuffix(users.CANCEL_SUFFIX))
+            return requests.show(name) if method == "GET" else method_not_allowed()
         return UserResponse(404, error_answer("no such path"))
 
 
@@ -177,26 +177,26 @@
 
     def run_forever(self) -> None:
         """Serve until the process is killed."""
-        server(self._settings.listen, Application(self.gateway), Pool(MAX_USER_CONNECTIONS)).start()
+        create_server(self._settings.listen, Application(self.gateway), Pool(MAX_USER_CONNECTIONS)).start()
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         log.info("%s serves ticket users on %s", self._settings.name, self._settings.listen)
         loops = [self._follow_jobs, self._follow_tickets, self._lead, self._reconcile, self._sweep]
-        gevent.joinall([gevent.spawn(self._guard, loop) for loop in loops])
+        gevent.joinall([gevent.spawn(self._run_loop, loop) for loop in loops])
 
-    def _guard(self, loop: Callable[[], None]) -> None:
+    def _run_loop(self, loop: Callable[[], None]) -> None:
         """Repeat a loop's body without end; an exception, as from an unexpected reply, must not end the process."""
         while True:
             try:
                 loop()
             except Exception:
                 log.exception("iteration of loop %s failed", loop.__name__)
-                sleep(PAUSE_AFTER_TROUBLE)
+                sleep(ERROR_RETRY_DELAY)
 
     def _follow(self, mirror: Mirror) -> None:
         answered = self.gateway.follow(mirror)
-        sleep(seconds(1 / self.gateway.request_rate) if answered else PAUSE_AFTER_TROUBLE)
+        sleep(seconds(1 / self.gateway.request_rate) if answered else ERROR_RETRY_DELAY)
 
     def _follow_jobs(self) -> None:
         self._follow(self.gateway.jobs)
--- a/kelpjunction/tickets/plan.py
+++ b/kelpjunction/tickets/plan.py
@@ -18,7 +18,7 @@
 from kelpjunction.wire import users
 from kelpjunction.wire.messages import JobSpec, Priority, Shape
 
-MAX_TASKS = 100_000  # of a job, as PROTOCOL says
+MAX_TASKS_PER_STEP = 100_000  # of a job, as PROTOCOL says
 MAX_STEPS = 100
 MAX_REF_DIGITS = 30  # the largest number of digits in a job's id
 MIB_PER_GB = 1024
@@ -148,8 +148,8 @@
         path = f"steps[{number}]"
         requirements = _Requirements(f"{path}.hostRequirements", violations)
         requirements.read(step)
-        if not 1 <= step.tasks <= MAX_TASKS:
-            rule = f"a step has 1 to {MAX_TASKS} tasks"
+        if not 1 <= step.tasks <= MAX_TASKS_PER_STEP:
+            rule = f"a step has 1 to {MAX_TASKS_PER_STEP} tasks"
             violations.append(Violation(f"{path}.parameterSpace", str(step.tasks), rule))
         spec = JobSpec(
             ref=job_ref(ticket, indexes[step.name]), klass=options.klass, team=options.team, shape=Shape.ARRAY,
--- a/kelpjunction/tickets/records.py
+++ b/kelpjunction/tickets/records.py
@@ -193,7 +193,7 @@
                 log.info("ticket %s: %s", key.removeprefix(ENDED_PREFIX), value["end"])
         for mirror, prefix in ((self._jobs, LIVE_PREFIX), (self._tickets, PREFIX)):
             puts = {k: v for k, v in txn.puts.items() if k.startswith(prefix)}
-            mirror.put_outcome(puts, [k for k in txn.deletes if k.startswith(prefix)], revision)
+            mirror.put_transaction(puts, [k for k in txn.deletes if k.startswith(prefix)], revision)
 
     def _refresh(self, key: str) -> None:
         for mirror, prefix in ((self._jobs, LIVE_PREFIX), (self._tickets, PREFIX)):
--- a/kelpjunction/tickets/requests.py
+++ b/kelpjunction/tickets/requests.py
@@ -9,7 +9,7 @@
 import orjson
 
 from kelpjunction.clock import Clock
-from kelpjunction.intake import RETRY_AFTER, TRIES, UserResponse, infeasibility_reason, unavailable_response
+from kelpjunction.intake import MAX_ATTEMPTS, RETRY_AFTER, UserResponse, infeasibility_reason, unavailable_response
 from kelpjunction.jobs.job_index import JobIndex
 from kelpjunction.rate_limiter import Purpose
 from kelpjunction.settings import Team
@@ -96,7 +96,7 @@
         ).hexdigest()
         steps = None
         highest_taken_number = 0  # the highest run number found to be taken by an older run's final record
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             head = self._store.get(HEAD_PREFIX + submission.ticket)
             number = 0
             if head is not None:
@@ -248,7 +248,7 @@
         The state is never older than one that any gateway has already told a user.
         """
         key = TICKET_PREFIX + run
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             unfinished = self._records.unfinished_runs.get(run)
             if unfinished is not None:
                 if self._verifier.versions_current({key: unfinished.version}):
@@ -273,7 +273,7 @@
             if (ref := step.spec.ref) in self._job_index.jobs
         }
         counts = {ref: (job.done_count(), job.placed_count()) for ref, job in jobs.items()}
-        return UserResponse(200, users.live_answer(run, found.progress, ticket_plan, counts))
+        return UserResponse(200, users.unfinished_answer(run, found.progress, ticket_plan, counts))
 
     # -- cancel -------------------------------------------------------------------
 
@@ -284,7 +284,7 @@
     def _cancel(self, run: str, found: UnfinishedRun | FinalRecord) -> UserResponse:
         if isinstance(found, FinalRecord):
             return self._state_answer(run, found)
-        for _ in range(TRIES + len(found.progress.states)):
+        for _ in range(MAX_ATTEMPTS + len(found.progress.states)):
             unfinished = self._records.unfinished_runs.get(run)
             if unfinished is None:
                 break
--- a/kelpjunction/tickets/users.py
+++ b/kelpjunction/tickets/users.py
@@ -15,7 +15,7 @@
 from kelpjunction.wire.users import MalformedMessage, parse_object
 
 TICKETS_PATH = "/api/tickets"
-CANCEL_END = "/cancel"
+CANCEL_SUFFIX = "/cancel"
 MAX_LISTED_VIOLATIONS = 20  # in one rejection
 
 _ID = r"[A-Za-z0-9][A-Za-z0-9_-]{0,79}"
@@ -97,7 +97,9 @@
     return {"failure": failure._asdict()} if failure else {}
 
 
-def live_answer(run: str, progress: TicketProgress, ticket_plan: Plan, counts: dict[str, tuple[int, int]]) -> bytes:
+def unfinished_answer(
+    run: str, progress: TicketProgress, ticket_plan: Plan, counts: dict[str, tuple[int, int]]
+) -> bytes:
     """The body for an unfinished ticket; `counts` has (done, running) tasks by job id, for live jobs only."""
     state = "stopping" if progress.stopping else "running" if any(n for _, n in counts.values()) else "pending"
     if state == "pending" and StepState.DONE in progress.states:
--- a/kelpjunction/wire/cloud.py
+++ b/kelpjunction/wire/cloud.py
@@ -9,10 +9,10 @@
 from kelpjunction.wire.users import MalformedMessage
 
 CATALOG_PATH = "/catalog"
-RENT_PATH = "/rentals"
-RETURN_PATH = "/rentals/return"
-MAX_RENT = 50
-MAX_RETURN = 100
+RENTALS_PATH = "/rentals"
+RENTAL_RETURNS_PATH = "/rentals/return"
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_RETURN = 100
 PAGE_SIZE = 500
 
 _STATES = {"starting": "booting", "running": "running", "failed": "failed"}
@@ -61,7 +61,7 @@
 def list_path(after: str | None) -> str:
     """The path of one page of the machine list, after the machine `after`."""
     since = f"since={quote(after)}&" if after else ""
-    return f"{RENT_PATH}?{since}most={PAGE_SIZE}"
+    return f"{RENTALS_PATH}?{since}most={PAGE_SIZE}"
 
 
 def parse_list(fields: dict) -> tuple[tuple[ListedMachine, ...], bool]:
--- a/kelpjunction/wire/state.py
+++ b/kelpjunction/wire/state.py
@@ -31,7 +31,7 @@
     return f"/store?prefix={quote(prefix, safe='')}{since}&most={limit}"
 
 
-def follow_path(prefix: str, since: int, wait_ms: int) -> str:
+def watch_path(prefix: str, since: int, wait_ms: int) -> str:
     return f"/follow?prefix={quote(prefix, safe='')}&since={since}&hold_ms={wait_ms}"
 
 
@@ -94,7 +94,7 @@
     return [parse_entry(p) for p in pairs], bool(fields.get("has_next")), parse_revision(fields)
 
 
-def parse_news(fields: dict) -> tuple[list[Change], int]:
+def parse_changes(fields: dict) -> tuple[list[Change], int]:
     """Parse a watch's answer: the changes, and the revision up to which they are complete."""
     try:
         changes = [
--- a/kelpjunction/wire/users.py
+++ b/kelpjunction/wire/users.py
@@ -9,10 +9,10 @@
 from kelpjunction.clock import seconds
 from kelpjunction.wire.messages import JobPhase, JobSpec, Priority, Shape
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 JOBS_PATH = "/api/jobs"
 HEALTH_PATH = "/healthz"
-ABORT_END = "/abort"
+ABORT_SUFFIX = "/abort"
 
 _REF = re.compile(r"j-[0-9]{1,30}\Z")
 _SHAPES = {"batch": Shape.ARRAY, "ensemble": Shape.GANG, "service": Shape.SERVICE}
--- a/kelpjunction/workers/answers.py
+++ b/kelpjunction/workers/answers.py
@@ -22,8 +22,8 @@
 
     NOT_HELD = "block_not_held"
     HIGHER_TOKEN_SEEN = "higher_token_seen"
-    STORE_NEWS_STALE = "no_news_of_state_service"
-    UNREACHED = "worker_not_reached"
+    MIRROR_STALE = "no_news_of_state_service"
+    UNREACHABLE = "worker_not_reached"
     RESPONSE_TIMED_OUT = "worker_waits_no_longer"
     EARLIER_SESSION = "earlier_session"
     UNPROVED_SESSION = "unproved_session"
@@ -53,13 +53,13 @@
         return Refusal.NOT_HELD
     if authority.higher_token_seen:
         return Refusal.HIGHER_TOKEN_SEEN
-    return None if authority.can_renew_leases else Refusal.STORE_NEWS_STALE
+    return None if authority.can_renew_leases else Refusal.MIRROR_STALE
 
 
 def refuse_report(report: Report, status: WorkerStatus) -> Refusal | None:
     """Why this report must not get a 200, which may renew the worker's lease, or None if it may."""
     if status.presumed_unreachable:
-        return Refusal.UNREACHED  # no stop command would reach it
+        return Refusal.UNREACHABLE  # no stop command would reach it
     if not status.may_wait:
         return Refusal.RESPONSE_TIMED_OUT  # a late copy: its worker may find a node that can reach it
     if report.session < status.session:
--- a/kelpjunction/workers/decisions.py
+++ b/kelpjunction/workers/decisions.py
@@ -76,7 +76,7 @@
         attempt = placement.task, placement.attempt, placement.machine, placement.session
         self._recorder.record(event_type(*attempt, placement.cause, ground, *newest))
 
-    def check_possible(self, report: Report, task_report: TaskReport) -> None:
+    def check_contradiction(self, report: Report, task_report: TaskReport) -> None:
         """Report a contradiction if a worker proves that it has an attempt that was settled or replaced by a later one.
 
         The recorder then writes out the decisions that led to it.
--- a/kelpjunction/workers/registry.py
+++ b/kelpjunction/workers/registry.py
@@ -12,7 +12,7 @@
 from kelpjunction.jobs.job_index import JobIndex, Phase, Placement
 from kelpjunction.leadership import Leadership
 from kelpjunction.recorder import Recorder
-from kelpjunction.renewal import DRIFT
+from kelpjunction.renewal import CLOCK_DRIFT_FACTOR
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.transport import NoResponse, Transport
 from kelpjunction.wire import workers as wire
@@ -112,10 +112,10 @@
         # the workers find the new holder before their leases end.
         self._higher_token_seen: dict[str, int] = {}
         self._probes_in_flight: set[str] = set()  # machines with an unanswered probe
-        self.on_seen: Callable[[Report], None] = lambda report: None
+        self.on_report: Callable[[Report], None] = lambda report: None
         self.images_of: Callable[[str], list[str]] = lambda machine: []
         self.is_gone: Callable[[str], bool] = lambda machine: False  # whether the cloud confirmed the return
-        self.on_exit: Callable[[Placement], None] = lambda placement: None
+        self.on_settled: Callable[[Placement], None] = lambda placement: None
 
     def clear(self, zone: str) -> None:
         """Forget the workers of a block that this node has gained or lost: earlier knowledge of them is not valid."""
@@ -126,7 +126,7 @@
 
     # -- reports ------------------------------------------------------------
 
-    def check_in(self, report: Report) -> tuple[int, bytes]:
+    def handle_report(self, report: Report) -> tuple[int, bytes]:
         """Take in a worker's report and return the HTTP status and body of the response."""
         token = self._blocks.own_token(report.zone)
         if token is not None and report.token > token and not self._is_overtaken(report.zone):
@@ -213,7 +213,7 @@
         for task_report in report.tasks:
             worker.tasks.setdefault(task_report.task, []).append(task_report)
         if worker.reachability_tracker.reachability is Reachability.REACHABLE:
-            self.on_seen(report)
+            self.on_report(report)
         for placement, task_report in assessment.listed:
             self._on_listed(worker, placement, task_report, now)
         for placement in assessment.ended:
@@ -225,7 +225,7 @@
             self._on_unlisted(worker, placement, now)
         if evidence is Evidence.PROOF:
             for task_report in assessment.unexpected:
-                self.decisions.check_possible(report, task_report)
+                self.decisions.check_contradiction(report, task_report)
         if new_session:
             self._wake()
         return assessment.needs_probe
@@ -307,10 +307,10 @@
             return
         placement.cause, placement.saved = cause, saved
         placement.advance(Phase.SETTLED, now)
-        self._job_index.settled[placement.task] = placement
+        self._job_index.settled_placements[placement.task] = placement
         worker = self.workers.get(placement.machine)
         self.decisions.settled(placement, ground, worker.reachability_tracker.newest if worker else (0, 0))
-        self.on_exit(placement)
+        self.on_settled(placement)
         self._wake()
 
     # -- commands -----------------------------------------------------------
@@ -469,7 +469,7 @@
             renewed = previous_holder_until if renewed is None else max(renewed, previous_holder_until)
         if renewed is None:
             renewed = worker.last_report_at
-        return renewed + self._times.lease * DRIFT + seconds(1)
+        return renewed + self._times.lease * CLOCK_DRIFT_FACTOR + seconds(1)
 
     def settle_expired(self) -> None:
         """Settle the placements on machines whose leases are known to have ended."""
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -28,15 +28,17 @@
     world.cut_from_store = {old.platform.node}
     assert world.run(10, lambda: any(n is not old and n.blocks.own_grant("b") for n in world.nodes.values()))
     new = next(n for n in world.nodes.values() if n is not old and n.blocks.own_grant("b"))
-    status, answer = old.check_in(report)
+    status, answer = old.handle_report(report)
     assert status == 200, "the node can't yet tell an outage of the store from its own disconnection"
     assert orjson.loads(answer)["helm"] < new.blocks.own_token("b")
     old.intake.sibling_has_fresh_mirror = True
     world.run(3)
-    assert old.check_in(report)[0] == 503, "a sibling's mirror is fresh, so only this node is cut off from the store"
+    assert old.handle_report(report)[0] == 503, (
+        "a sibling's mirror is fresh, so only this node is cut off from the store"
+    )
     old.intake.sibling_has_fresh_mirror = False
     world.run(20)
-    assert old.check_in(report)[0] != 200, "the grace period without the store has ended"
+    assert old.handle_report(report)[0] != 200, "the grace period without the store has ended"
 
 
 # Holders that lost contact
--- a/tests/test_cli_and_scenarios.py
+++ b/tests/test_cli_and_scenarios.py
@@ -144,7 +144,7 @@
 
 
 def test_client_tries_next_node_until_response_is_final():
-    client = RetryingClient("a:1,b:1", 60, pause=lambda s: None)
+    client = RetryingClient("a:1,b:1", 60, sleep=lambda s: None)
     client._transport = ScriptedTransport(
         NoResponse("no"), Reply(503, {}), Reply(429, {}), Reply(404, {"error": "no such job"})
     )
@@ -153,7 +153,7 @@
 
 
 def test_exit_code_3_suggests_command_when_nothing_listens(capsys):
-    client = RetryingClient("a:1", 0, pause=lambda s: None)
+    client = RetryingClient("a:1", 0, sleep=lambda s: None)
     client._transport = ScriptedTransport()
     with pytest.raises(SystemExit) as ended:
         client.ask("GET", "/api/jobs/j-1")
@@ -169,7 +169,7 @@
         "node": "holdfast-0", "term": 4, "job": "j-12", "machine": "n-000007", "level": "INFO", "slice": "jobs",
     }  # fmt: skip
     with pytest.raises(ValueError, match="LOG_FORMAT must be one of line, json"):
-        logs.set_up("info", "xml", "holdfast-0", lambda: None)
+        logs.configure_logging("info", "xml", "holdfast-0", lambda: None)
 
 
 def test_check_command_validates_settings():
--- a/tests/test_concurrent_users.py
+++ b/tests/test_concurrent_users.py
@@ -67,7 +67,7 @@
     ended = []
     for name in world.node_names:
         node = world.nodes[name]
-        node.record_writer._on_ended = lambda ref, how, n=name, keep=node.intake.remember: (
+        node.record_writer._on_ended = lambda ref, how, n=name, keep=node.intake.cache_ended_job: (
             ended.append(n),
             keep(ref, how),
         )
--- a/tests/test_event_costs.py
+++ b/tests/test_event_costs.py
@@ -31,7 +31,7 @@
 
     for node in world.nodes.values():
         for slice_ in (node.holder_scheduler, node.leader_scheduler):
-            list(slice_._view_cache.fresh())  # the first look makes all of them
+            list(slice_._view_cache.refreshed_views())  # the first look makes all of them
             slice_._view_cache._make_view = counting(type(slice_).__name__, slice_._view)
     world.filter = count
     before = world.store.revision
@@ -58,15 +58,17 @@
     world.submit("j-1", tasks=4, run_s=600.0)
     world.run(15)
     leader = world.leader()
-    list(leader.leader_scheduler._view_cache.fresh())
+    list(leader.leader_scheduler._view_cache.refreshed_views())
     made = []
     leader.leader_scheduler._view_cache._make_view = lambda name: (
         made.append(name) or leader.leader_scheduler._view(name)
     )
-    list(leader.leader_scheduler._view_cache.fresh())
+    list(leader.leader_scheduler._view_cache.refreshed_views())
     assert made == []
     machine = leader.inventory.machines[worker_of(world, "j-1/0").name]
     machine.suspect(True)
-    machine.become(machine.state, world.clock.now + seconds(1))
-    assert [v.suspected for v in leader.leader_scheduler._view_cache.fresh() if v.name == machine.name] == [True]
+    machine.transition_to(machine.state, world.clock.now + seconds(1))
+    assert [v.suspected for v in leader.leader_scheduler._view_cache.refreshed_views() if v.name == machine.name] == [
+        True
+    ]
     assert made == [machine.name], "only the view of the changed machine is rebuilt"
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -90,8 +90,8 @@
 def test_machine_suspicion_ends_with_failing_job():
     """Found in review: a machine stayed suspected after the only job that had failed on it was cancelled."""
     world = ready_world(machines=3, capacity=3)
-    holder = next(n for n in world.nodes.values() if n.machine_monitor.mine())
-    machine = holder.machine_monitor.mine()[0]
+    holder = next(n for n in world.nodes.values() if n.machine_monitor.machines_of_held_blocks())
+    machine = holder.machine_monitor.machines_of_held_blocks()[0]
     world.submit("j-1", wrong=True, bay=machine.zone)
     assert world.run(10, lambda: machine.suspected)
     assert world.abort("j-1") == 200
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -333,7 +333,7 @@
     node.watch_store()
     world.clock.now += seconds(0.6)  # a round runs before any worker has reported again
     node.holder_scheduler.round()
-    assert node.job_index.settled == {}
+    assert node.job_index.settled_placements == {}
     world.run(30)
     assert len(world.starts) == 9, "a task was started again"
     assert world.broken == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
     assert world.run(15, lambda: worker.name not in world.cloud.machines)
     world.run(1)
     for node in world.nodes.values():
-        assert node.check_in(delayed_report)[0] != 200
+        assert node.handle_report(delayed_report)[0] != 200
         assert worker.name not in node.inventory.machines
 
 
--- a/tests/test_free_capacity_index.py
+++ b/tests/test_free_capacity_index.py
@@ -218,7 +218,7 @@
         list(room.select_all().buckets(spec))
     anew = FreeCapacityIndex(there.values())
     kept_buckets, made_buckets = (
-        {(b.kind, b.profile): (list(b.names), b.images, b.arriving) for b in r.select_all().buckets(spec)}
+        {(b.kind, b.profile): (list(b.names), b.images, b.fetching_images) for b in r.select_all().buckets(spec)}
         for r in (room, anew)
     )
     assert kept_buckets == made_buckets
@@ -242,7 +242,7 @@
 def test_place_skips_machines_that_are_not_ready(shape):
     views = [MachineView(f"n-{n}", TYPES[0], "a", False, 8.0, 0.0, 32.0) for n in range(3)]
     selection = build_index(views).select_all()
-    selection = selection.__class__(selection.index, ready=lambda view: view.name != "n-0")
+    selection = selection.__class__(selection.index, is_ready=lambda view: view.name != "n-0")
     spec = parse_job(
         {
             "ref": "j-1", "stripe": "s", "crew": "red", "shape": shape, "urgency": "standard", "fronds": 4,
--- a/tests/test_isolated_node.py
+++ b/tests/test_isolated_node.py
@@ -178,11 +178,11 @@
     zone = node.blocks.held_zones()[0]
     newer_worker, older_worker = [w for w, _ in world.cloud.machines.values() if w.zone == zone][:2]
     newer_worker.token = node.blocks.own_token(zone) + 1
-    assert node.check_in(orjson.dumps(newer_worker.report()))[0] == 503
-    assert node.check_in(orjson.dumps(older_worker.report()))[0] == 503
+    assert node.handle_report(orjson.dumps(newer_worker.report()))[0] == 503
+    assert node.handle_report(orjson.dumps(older_worker.report()))[0] == 503
     node.blocks.issue_new_tokens([zone])
     node.blocks.issue_new_tokens([zone])
-    assert node.check_in(orjson.dumps(older_worker.report()))[0] == 200, (
+    assert node.handle_report(orjson.dumps(older_worker.report()))[0] == 200, (
         "the node holds the block under a higher token itself"
     )
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -136,9 +136,9 @@
     assert world.run(5, lambda: len(leader.job_index.jobs) == 200)
     leader.store.limits = replace(leader.store.limits, value_bytes=640)  # ten jobs per key, twelve keys per transaction
     for job in leader.job_index.jobs.values():
-        job.task_time_received = seconds(7)
+        job.received_machine_time = seconds(7)
     assert world.run(15, lambda: len([k for k in world.store.data if k.startswith("s/")]) == 20)
     world.kill_node(leader.platform.node)
     assert world.run(10, lambda: world.leader() is not None)
     world.run(1)
-    assert [j.task_time_received for j in world.leader().job_index.jobs.values()] == [seconds(7)] * 200
+    assert [j.received_machine_time for j in world.leader().job_index.jobs.values()] == [seconds(7)] * 200
--- a/tests/test_lease_renewal_outage.py
+++ b/tests/test_lease_renewal_outage.py
@@ -14,7 +14,7 @@
 
 from kelpjunction.clock import seconds
 from kelpjunction.lab.world import STORE, NetworkConditions, World
-from kelpjunction.renewal import MIN_COMFORTABLE_GRACE, LeaseRenewalPolicy
+from kelpjunction.renewal import MIN_RECOMMENDED_GRACE_PERIOD, LeaseRenewalPolicy
 from kelpjunction.settings import WorkerTimes
 from kelpjunction.store.client import StoreClient
 from kelpjunction.store.mirror import Mirror
@@ -226,7 +226,7 @@
     short_grace = LeaseRenewalPolicy(seconds(29), seconds(30), seconds(20))
     assert (long_grace.grace_period_short, short_grace.grace_period_short) == (False, True)
     assert long_grace.grace_period == seconds(20)
-    assert short_grace.watch_timeout * 2 < short_grace.grace_period < MIN_COMFORTABLE_GRACE
+    assert short_grace.watch_timeout * 2 < short_grace.grace_period < MIN_RECOMMENDED_GRACE_PERIOD
     with pytest.raises(ValueError, match="cancel_s must be above lease_s"):
         LeaseRenewalPolicy(seconds(29), seconds(29.02), seconds(20))
 
@@ -269,7 +269,9 @@
 def test_mirror_freshness_is_request_time():
     world = World()
     slow_store = SlowStore(world)
-    store = StoreClient(slow_store, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0)
+    store = StoreClient(
+        slow_store, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, write_share=1.0
+    )
     mirror = Mirror(store, world.clock, slow_store)
     began = world.clock.now
     mirror.watch_once()
@@ -278,7 +280,7 @@
     mirror.watch_once()
     assert mirror.known_until == opened, "a watch is as fresh as its opening, not its response"
     world.clock.now += seconds(1)
-    mirror.put_outcome({"l/job/j-1": {}}, (), 10**6)
+    mirror.put_transaction({"l/job/j-1": {}}, (), 10**6)
     mirror.refresh("l/job/j-2")
     store.commit({"l/job/j-2": 0})
     assert mirror.known_until == opened, "own writes, a read of one key and a comparison prove nothing of other keys"
@@ -287,7 +289,7 @@
 def test_watch_freshness_is_its_opening_time():
     world = World()
     mirror = Mirror(
-        StoreClient(None, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, share=1.0),
+        StoreClient(None, STORE, world.platform("holdfast-0").store, world.clock, lambda _: None, write_share=1.0),
         world.clock,
         watch_transport := SlowStore(world),
     )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -25,16 +25,16 @@
     ResourceTime,
     TeamRow,
     apply_charge,
-    close,
+    close_page,
     closing_entry,
     resource_time,
     settings_entry,
-    total,
+    total_by_team,
 )
 from kelpjunction.ledger.audit import audit, check_chain, replay
 from kelpjunction.ledger.decay import FACTOR_FUNCTIONS, FIXED_POINT_ONE, decay, factor, steady_state_usage
 from kelpjunction.ledger.reader import LedgerContents, LedgerSnapshot
-from kelpjunction.ledger.report import html
+from kelpjunction.ledger.report import render_report
 from kelpjunction.settings import OperatorSettings, load_operator_settings
 
 DAY = 86_400_000
@@ -47,7 +47,7 @@
     return replace(defaults, ledger=replace(defaults.ledger, enabled=True, **changes))
 
 
-POLICY = Policy.of(operators().ledger, TEAMS)
+POLICY = Policy.from_settings(operators().ledger, TEAMS)
 settings.register_profile("same", deadline=None, derandomize=True, max_examples=60)  # the same examples in every run
 settings.load_profile("same")
 
@@ -119,7 +119,7 @@
     for passed, now in steps:
         amounts = {team: (ResourceTime(over), ResourceTime(open_)) for team, (over, open_) in now.items()}
         before = page
-        page, rows = close(page, page.closed_at_ms + passed, page.revision + 1, amounts, POLICY, TEAMS)
+        page, rows = close_page(page, page.closed_at_ms + passed, page.revision + 1, amounts, POLICY, TEAMS)
         last = entries[-1]
         entries.append(closing_entry(last["n"] + 1, last["hash"], 0, before.closed_at_ms, page, rows, "n term 1"))
     head = {"n": entries[-1]["n"], "hash": entries[-1]["hash"]}
@@ -130,7 +130,7 @@
 def test_charges_add_up_to_ended_and_open_usage(steps):
     """Conservation: for any periods, the charges add up to the ended usage plus the usage open at the end."""
     ledger = build_ledger(steps)
-    sums = total(ledger.entries)
+    sums = total_by_team(ledger.entries)
     for team in ("red", "blue", "guest"):
         ended = sum(now[team][0] for _, now in steps if team in now)
         open_ = steps[-1][1].get(team, (0, 0))[1]
@@ -170,15 +170,15 @@
     assert check_chain(LedgerSnapshot(), [first, forged]) is None
     fault = replay(LedgerSnapshot(), [first, forged]).fault
     assert fault.number == 2
-    assert "team red" in fault.why
+    assert "team red" in fault.reason
 
 
 def test_changed_settings_are_a_separate_entry():
-    other = Policy.of(operators(half_life=timedelta(days=1), form="linear").ledger, TEAMS)
+    other = Policy.from_settings(operators(half_life=timedelta(days=1), form="linear").ledger, TEAMS)
     ledger = build_ledger([(DAY, {"red": (10**9, 0)})])
     last = ledger.entries[-1]
     changed = settings_entry(3, last["hash"], last["t"], other, "m term 2")
-    page, rows = close(ledger.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
+    page, rows = close_page(ledger.pages[0], 2 * DAY, 9, {"red": (ResourceTime(5), ResourceTime())}, other, TEAMS)
     closing = closing_entry(4, changed["hash"], 0, last["t"], page, rows, "m term 2")
     done = replay(LedgerSnapshot(), [*ledger.entries, changed, closing])
     assert done.fault is None
@@ -212,7 +212,7 @@
     )
     world.run(15)
     ledger = reader.read(next(n.store for n in world.nodes.values() if n is not None))
-    sums = total(ledger.entries)
+    sums = total_by_team(ledger.entries)
     own = account.by_team()
     assert own, "no usage was observed, so the comparison would prove nothing"
     assert sums == own
@@ -252,14 +252,14 @@
         return None
 
     closing = [False]
-    step = world.nodes[leader].ledger_keeper.run_once
+    step = world.nodes[leader].ledger_writer.run_once
 
     def flagged_run_once() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    world.nodes[leader].ledger_keeper.run_once = flagged_run_once
+    world.nodes[leader].ledger_writer.run_once = flagged_run_once
     world.filter = fail_commit
     assert world.run(8, lambda: failed_commits != [])
     world.kill_node(leader)
@@ -279,14 +279,14 @@
     submit(world, run_s=30.0)
     leader = world.leader()
     closing = [False]
-    step = leader.ledger_keeper.run_once
+    step = leader.ledger_writer.run_once
 
     def flagged_run_once() -> None:
         closing[0] = True
         step()
         closing[0] = False
 
-    leader.ledger_keeper.run_once = flagged_run_once
+    leader.ledger_writer.run_once = flagged_run_once
     world.late_request_delay_s = (0.05, 6.0)
     world.filter = lambda source, target, path: "held" if path == "/commit" and closing[0] else None
     world.run(25)
@@ -303,19 +303,19 @@
     world, account = world_with_ledger()
     submit(world, run_s=20.0)
     leader = world.leader()
-    ended = leader.ledger_keeper._read_ended
+    ended = leader.ledger_writer._read_ended_jobs
 
     def lose_leadership() -> dict:
         found = ended()
         leader.leadership.run_once = lambda: None
-        leader.ledger_keeper.end()
+        leader.ledger_writer.end()
         return found
 
-    leader.ledger_keeper._read_ended = lose_leadership
+    leader.ledger_writer._read_ended_jobs = lose_leadership
     before = [e["n"] for e in entries(world)]
     world.run(3)
-    leader.ledger_keeper._read_ended = ended
-    assert leader.ledger_keeper.state is writer.WriterState.INACTIVE
+    leader.ledger_writer._read_ended_jobs = ended
+    assert leader.ledger_writer.state is writer.WriterState.INACTIVE
     world.kill_node(leader.platform.node)
     world.run(6)
     numbers = [e["n"] for e in entries(world)]
@@ -330,7 +330,7 @@
     submit(world, run_s=25.0)
     old = world.leader_name()
     world.freeze(old, 8)
-    assert world.leader_name() != old or world.nodes[old].ledger_keeper.state is writer.WriterState.ACTIVE
+    assert world.leader_name() != old or world.nodes[old].ledger_writer.state is writer.WriterState.ACTIVE
     world.run(5)
     owners = [e["by"].split()[0] for e in entries(world)]
     assert len(set(owners)) == 2
@@ -350,7 +350,7 @@
     """All nodes that saw the task are gone: the next leader finds its final record by the record's revision."""
     world, account = world_with_ledger(half_life=timedelta(minutes=5))
     for node in world.nodes.values():
-        node.ledger_keeper.run_once = lambda: None
+        node.ledger_writer.run_once = lambda: None
     submit(world, "j-1", 1, run_s=2.0)
     assert world.run(15, lambda: "e/j-1" in world.store.data)
     before = len(entries(world))
@@ -358,13 +358,13 @@
     world.run(10)
     assert len(entries(world)) > before
     ledger = assert_ledger_matches_account(world, account)
-    assert total(ledger.entries)["red"].cpus > 0
+    assert total_by_team(ledger.entries)["red"].cpus > 0
 
 
 def test_ledger_rereads_store_that_lost_its_change_history():
     world, account = world_with_ledger()
     for node in world.nodes.values():
-        node.ledger_keeper.run_once = lambda: None
+        node.ledger_writer.run_once = lambda: None
     submit(world, "j-1", 3, run_s=2.0)
     assert world.run(15, lambda: "e/j-1" in world.store.data)
     world.fault("kill", "all", 1)
@@ -393,7 +393,7 @@
     world.kill_node(world.leader_name())
     for node in world.nodes.values():
         if node is not None:
-            node.ledger_keeper._clock = LaggingClock(world.clock)
+            node.ledger_writer._clock = LaggingClock(world.clock)
     world.run(6)
     assert world.leader_name() is not None
     assert entries(world)[-1]["t"] == last
@@ -403,7 +403,7 @@
     assert times[-1] > last
     for node in world.nodes.values():
         if node is not None:
-            node.ledger_keeper._clock = world.clock
+            node.ledger_writer._clock = world.clock
     assert_ledger_matches_account(world, account)
 
 
@@ -465,7 +465,7 @@
     submit(world, run_s=run)
     assert world.run(60, lambda: world.poll("j-1") == "done")
     world.run(40)
-    sums = {team: amounts for team, amounts in total(entries(world)).items() if any(amounts)}
+    sums = {team: amounts for team, amounts in total_by_team(entries(world)).items() if any(amounts)}
     assert sums == account.by_team() != {}
 
 
@@ -492,7 +492,9 @@
     world.run(150)
     pages = [v[0] for k, v in world.store.data.items() if k.startswith(writer.PAGE_PREFIX)]
     assert sum(len(p["teams"]) for p in pages) == 1000
-    assert total(entries(world)) == {f"team-{n:04d}": resource_time(2.0, 0.0, 4.0, 1000 + n) for n in range(1000)}
+    assert total_by_team(entries(world)) == {
+        f"team-{n:04d}": resource_time(2.0, 0.0, 4.0, 1000 + n) for n in range(1000)
+    }
     asked = []
     world.filter = lambda source, target, path: asked.append(path) if "u%2F" in path else None
     world.kill_node(leader.platform.node)
@@ -507,9 +509,9 @@
     check = LedgerSimulation(seed, timedelta(days=4), day_speed=1440).play()
     assert check.ledger == check.observed_usage
     assert check.replayed.fault is None
-    assert check.wrong == []
+    assert check.problems == []
     assert check.broken == []
-    assert (check.faults > 3, check.used > 20, len(check.observed_usage) > 5) == (True, True, True)
+    assert (check.faults > 3, check.priorities_compared > 20, len(check.observed_usage) > 5) == (True, True, True)
 
 
 # -- commands -------------------------------------------------------------------------------
@@ -527,7 +529,7 @@
     assert invoke("audit", "--file", str(file)).exit_code == 0
     shown = orjson.loads(invoke("show", "--file", str(file), "--json").stdout)
     assert set(shown["teams"]) == {"red", "blue"}
-    page = html(ledger, audit(ledger))
+    page = render_report(ledger, audit(ledger))
     assert page.count("<svg") == 3
     assert "http://" not in page.replace("http://www.w3.org", "").replace("http://purl.org", "").replace(
         "http://creativecommons.org", ""), "the page refers to an external resource"  # fmt: skip
@@ -566,5 +568,5 @@
     assert audit(rest).fault is None
     with pytest.raises(LedgerError, match="were archived before"):
         reader.compact(store, base)
-    assert total(ledger.entries[:-1])["red"] + total(rest.entries)["red"] == account.by_team()["red"]
+    assert total_by_team(ledger.entries[:-1])["red"] + total_by_team(rest.entries)["red"] == account.by_team()["red"]
     assert Balance() == Balance(ResourceTime(), 0, FIXED_POINT_ONE)
--- a/tests/test_paused_node.py
+++ b/tests/test_paused_node.py
@@ -30,8 +30,8 @@
     world.store.outage(False)
     holder.watch_store()
     holder.machine_monitor.run_once()
-    assert holder.machine_monitor.mine()
-    assert all(m.usable for m in holder.machine_monitor.mine())
+    assert holder.machine_monitor.machines_of_held_blocks()
+    assert all(m.usable for m in holder.machine_monitor.machines_of_held_blocks())
 
 
 @pytest.mark.parametrize("path", ["/commands", "/commit"])
--- a/tests/test_random_fault_schedules.py
+++ b/tests/test_random_fault_schedules.py
@@ -19,7 +19,7 @@
     loads = {
         n: (round(x.cpus, 6), round(x.memory, 6), +x.images, set(x.placements)) for n, x in job_index.loads.items()
     }
-    sets = [job_index.pending_jobs, job_index.dispatched_jobs, job_index.cancelled, job_index.finished_jobs]
+    sets = [job_index.pending_jobs, job_index.dispatched_jobs, job_index.cancelled_jobs, job_index.finished_jobs]
     return {"counts": counts, "loads": loads, "sets": sets, "held": dict(job_index.task_counts)}
 
 
@@ -53,7 +53,7 @@
     """The machine views that rounds cache, and the same views rebuilt."""
     rebuilt = [view for name in node.inventory.machines if (view := scheduler._view(name)) is not None]
     states_by_name = []
-    for views in (scheduler._view_cache.fresh(), rebuilt):
+    for views in (scheduler._view_cache.refreshed_views(), rebuilt):
         states_by_name.append({v.name: [getattr(v, f) for f in v.__slots__ if f != "on_write"] for v in views})
     return states_by_name[0], states_by_name[1]
 
@@ -84,7 +84,9 @@
     """The leader has reserved capacity once for each task that is dispatched and not started, if there is capacity."""
     leader_scheduler = node.leader_scheduler
     views = leader_scheduler._views()
-    stuck = {ref for ref in node.job_index.gangs & node.job_index.dispatched_jobs if leader_scheduler._stuck(ref)}
+    stuck = {
+        ref for ref in node.job_index.gang_jobs & node.job_index.dispatched_jobs if leader_scheduler._is_stuck_gang(ref)
+    }
     pending = {
         task: (node.job_index.jobs[ref], target.zone)
         for ref in node.job_index.dispatched_jobs - stuck
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -95,11 +95,12 @@
     world.start_node(name)
     assert world.run(10, lambda: any(n.blocks.own_grant(worker.zone) for n in world.nodes.values()))
     for _ in range(3):
-        holder_of(world, worker).check_in(copy)
+        holder_of(world, worker).handle_report(copy)
         world.run(2)
     known = holder_of(world, worker).worker_registry.workers[worker.name]
     next_report = orjson.loads(copy) | {"tally": known.reachability_tracker.newest[1] + 1}
-    holder_of(world, worker).check_in(orjson.dumps(next_report))  # a copy that looks like the next report in sequence
+    # A copy that looks like the next report in sequence.
+    holder_of(world, worker).handle_report(orjson.dumps(next_report))
     world.run(2)
     assert world.running("j-1") == [("j-1/0", worker.name)]
     assert world.broken == []
@@ -117,7 +118,7 @@
     assert world.run(20, lambda: any(n.blocks.own_grant(worker.zone) for n in world.nodes.values()))
     holder = holder_of(world, worker)
     for _ in range(5):
-        holder.check_in(copy)
+        holder.handle_report(copy)
         world.run(1)
         machine = holder.inventory.machines.get(worker.name)
         assert machine is None or not machine.usable
@@ -134,7 +135,7 @@
     worker.partitioned = True
     world.run(3)
     lease_renewed_at, proved_at = known.lease_renewed_at, known.reachability_tracker.proved_at
-    assert holder.check_in(copy)[0] == 503
+    assert holder.handle_report(copy)[0] == 503
     assert (known.lease_renewed_at, known.reachability_tracker.proved_at) == (lease_renewed_at, proved_at)
 
 
@@ -233,7 +234,7 @@
     lease_ended_by = renewed_at + world.times.lease * 1.001 + seconds(1)
     while world.clock.now < lease_ended_by - seconds(1):
         world.run(0.9)
-        assert holder.check_in(report_copy(worker))[0] == 503
+        assert holder.handle_report(report_copy(worker))[0] == 503
         assert holder.job_index.jobs["j-1"].placed_count() == 1, (
             "the task was settled before the lease had certainly ended"
         )
@@ -251,9 +252,9 @@
     holder = holder_of(world, worker)
     newest = holder.worker_registry.workers[worker.name].reachability_tracker.newest
     assert world.run(5, lambda: holder.worker_registry.workers[worker.name].reachability_tracker.newest > newest)
-    assert holder.check_in(copy)[0] == 200, "the worker may still wait for this response"
+    assert holder.handle_report(copy)[0] == 200, "the worker may still wait for this response"
     world.run(5)
-    assert holder.check_in(copy)[0] == 503
+    assert holder.handle_report(copy)[0] == 503
 
 
 def test_higher_session_is_probed_before_believed():
@@ -266,7 +267,7 @@
     probed = []
     holder.worker_registry.probe = lambda machine, address: probed.append(address)
     worker.sequence += 1
-    holder.check_in(copy)
+    holder.handle_report(copy)
     assert holder.worker_registry.workers[worker.name].session == 1, (
         "the holder believed a session that never existed, and a start would name it"
     )
@@ -301,12 +302,12 @@
     proved_at = known.reachability_tracker.proved_at
     while world.clock.now <= proved_at + limit + seconds(1):
         worker.sequence += 2  # as if it had reported to another node in between
-        holder.check_in(report_copy(worker))
+        holder.handle_report(report_copy(worker))
         world.run(0.5)
     assert holder.inventory.machines[worker.name].state is MachineState.SILENT
     holder.inventory.machines[worker.name].state = MachineState.UP  # as if this node did not know that it is silent
     holder.worker_registry._changes.mark_changed(worker.name)
-    assert worker.name not in {v.name for v in holder.holder_scheduler._view_cache.fresh()}
+    assert worker.name not in {v.name for v in holder.holder_scheduler._view_cache.refreshed_views()}
 
 
 def test_late_report_with_probe_response_is_not_silent(caplog):
@@ -354,7 +355,7 @@
     for node in world.nodes.values():
         node.watch_store()
     worker.token = holder.blocks.own_token(worker.zone)
-    status, answer = holder.check_in(report_copy(worker))
+    status, answer = holder.handle_report(report_copy(worker))
     assert status == 200 and b"run" in answer, "the report's response does not start the task"
     placement = next(holder.job_index.placements())
     holder.worker_registry.stop(placement, seconds(0), "a trace")
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -66,7 +66,7 @@
     placement = holder.job_index.placement(TASK)
     placement.was_reported = True
     holder.worker_registry.settle(placement, ExitCause.MACHINE_LOST, Ground.ABSENT, world.clock.now)
-    holder.job_index.settled.clear()
+    holder.job_index.settled_placements.clear()
     holder.job_index._remove_placement(placement)
     holder.worker_registry.probe(worker.name, worker.address)
     (finding,) = events_of_kind(holder, Impossible)
@@ -87,7 +87,7 @@
     placement.attempt, placement.was_reported = 2, True
     task_report = TaskReport(TASK, attempt, TaskState.RUNNING, None, False)
     report = Report("n-9", "10.1.0.9:9000", "box", "a", False, 1, 1, 0, None, (task_report,))
-    holder.worker_registry.decisions.check_possible(report, task_report)
+    holder.worker_registry.decisions.check_contradiction(report, task_report)
     assert [f.finding for f in events_of_kind(holder, Impossible)] == ([f"attempt 2 is on {placement.machine}"] * found)
 
 
--- a/tests/test_report_responses.py
+++ b/tests/test_report_responses.py
@@ -41,7 +41,7 @@
         (BlockAuthority(5, False, True), None),
         (BlockAuthority(None, False, True), Refusal.NOT_HELD),
         (BlockAuthority(5, True, True), Refusal.HIGHER_TOKEN_SEEN),
-        (BlockAuthority(5, False, False), Refusal.STORE_NEWS_STALE),
+        (BlockAuthority(5, False, False), Refusal.MIRROR_STALE),
     ],
 )
 def test_refuse_block_by_authority(authority, refusal):
@@ -52,7 +52,7 @@
     ("status", "refusal"),
     [
         (WorkerStatus(2, False, True), None),
-        (WorkerStatus(2, True, True), Refusal.UNREACHED),
+        (WorkerStatus(2, True, True), Refusal.UNREACHABLE),
         (WorkerStatus(2, False, False), Refusal.RESPONSE_TIMED_OUT),
         (WorkerStatus(3, False, True), Refusal.EARLIER_SESSION),
         (WorkerStatus(1, False, True), Refusal.UNPROVED_SESSION),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -106,10 +106,10 @@
     """A checker with one job, two machines and two processes that have sent all events up to time 0."""
     checker = Checker({"red": 3.0}, cancel_s=10.0)
     for name in ("one", "two"):
-        checker.process_began(name, 0.0)
-    checker.machine_added("n-1", "a", False)
-    checker.machine_added("n-2", "b", False)
-    checker.submitted(JOB | job)
+        checker.add_process(name, 0.0)
+    checker.add_machine("n-1", "a", False)
+    checker.add_machine("n-2", "b", False)
+    checker.add_job(JOB | job)
     return checker
 
 
@@ -124,38 +124,38 @@
 def test_checker_orders_events_by_time_not_arrival():
     """Two processes send their events at different times. The checker must use the times of the events."""
     checker = checker_with_job()
-    checker.told_upto("two", 9.0, [start_event(5.0, "n-2")])
+    checker.add_events("two", 9.0, [start_event(5.0, "n-2")])
     assert checker.starts == 0
-    checker.told_upto("one", 9.0, [start_event(1.0, "n-1"), exit_event(4.0, "n-1")])
+    checker.add_events("one", 9.0, [start_event(1.0, "n-1"), exit_event(4.0, "n-1")])
     assert (checker.broken, checker.starts, checker.running) == ([], 2, 1)
 
 
 def test_checker_detects_task_on_two_machines_and_team_above_limit():
     checker = checker_with_job()
-    checker.told_upto("one", 9.0, [start_event(1.0, "n-1")])
-    checker.told_upto("two", 9.0, [start_event(2.0, "n-2")])
+    checker.add_events("one", 9.0, [start_event(1.0, "n-1")])
+    checker.add_events("two", 9.0, [start_event(2.0, "n-2")])
     assert checker.broken == ["ran_twice: j-1/0 on n-2 while on ['n-1']", "quota: red uses 4.0 of 3.0"]
 
 
 def test_cleared_machine_has_no_tasks():
     checker = checker_with_job()
-    checker.told_upto("one", 3.0, [start_event(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
-    checker.told_upto("two", 9.0, [start_event(2.5, "n-2")])
-    checker.told_upto("one", 9.0, [])
+    checker.add_events("one", 3.0, [start_event(1.0, "n-1"), TaskEvent(2.0, EventKind.CLEARED, "n-1")])
+    checker.add_events("two", 9.0, [start_event(2.5, "n-2")])
+    checker.add_events("one", 9.0, [])
     assert (checker.broken, checker.running) == ([], 1)
 
 
 def test_checker_detects_starts_and_remaining_tasks_of_cancelled_job():
     checker = checker_with_job()
-    checker.asked_to_cancel("j-1")
-    checker.told_upto("one", 2.0, [start_event(1.0, "n-1")])
-    checker.answered(2.0, "j-1", 200, "withdrawn")
-    checker.told_upto("two", 11.0, [])
-    checker.told_upto("one", 11.0, [])
+    checker.add_cancel_request("j-1")
+    checker.add_events("one", 2.0, [start_event(1.0, "n-1")])
+    checker.add_answer(2.0, "j-1", 200, "withdrawn")
+    checker.add_events("two", 11.0, [])
+    checker.add_events("one", 11.0, [])
     checker.check_cancelled(11.0)
     assert checker.broken == []
-    checker.told_upto("two", 13.0, [])
-    checker.told_upto("one", 13.0, [start_event(12.5, "n-1", "j-1/1")])
+    checker.add_events("two", 13.0, [])
+    checker.add_events("one", 13.0, [start_event(12.5, "n-1", "j-1/1")])
     checker.check_cancelled(13.0)
     assert checker.broken == [
         "quota: red uses 4.0 of 3.0", "ran_cancelled: j-1/1 started", "ran_cancelled: j-1 is still on n-1",
@@ -168,9 +168,9 @@
         (1.0, "j-1", 201, "pending"), (2.0, "j-1", 200, "done"), (3.0, "j-1", 404, None),
         (4.0, "j-1", 200, "running"), (5.0, "j-9", 200, "pending"), (6.0, "j-1", 422, None),
     ):  # fmt: skip
-        checker.answered(at, ref, status, state)
+        checker.add_answer(at, ref, status, state)
     for name in ("one", "two"):
-        checker.told_upto(name, 9.0, [])
+        checker.add_events(name, 9.0, [])
     assert checker.broken == [
         "not_done: j-1 lacks 2 tasks",
         "forgotten: j-1",
--- a/tests/test_scheduling_decisions.py
+++ b/tests/test_scheduling_decisions.py
@@ -13,8 +13,8 @@
     PendingJob,
     PreemptionPolicy,
     Usage,
+    exceeds_limit,
     in_order,
-    over_limit,
     weight_factors,
 )
 from kelpjunction.settings import Team
@@ -78,8 +78,8 @@
     assert usage.startable_tasks("red", 2.0, 0.0, 99) == 1
     assert usage.startable_tasks("blue", 2.0, 0.0, 99) == 99
     assert usage.startable_tasks("nobody", 2.0, 0.0, 99) == 0
-    assert over_limit(teams["red"], 2.0, 0.0, 6)
-    assert not over_limit(teams["red"], 2.0, 0.0, 5)
+    assert exceeds_limit(teams["red"], 2.0, 0.0, 6)
+    assert not exceeds_limit(teams["red"], 2.0, 0.0, 5)
 
 
 def test_spread_service_puts_at_most_half_in_a_zone():
@@ -127,16 +127,16 @@
 def test_plan_rentals_takes_cheapest_across_zones_and_counts_pending():
     catalog = {"small": SMALL, "gpu": GPU}
     want = [CapacityRequest(job(driftwood=True), 12)]
-    requests = plan_rentals(want, catalog, {}, set(), {"a": 2, "b": 1}, most=50)
+    requests = plan_rentals(want, catalog, {}, set(), {"a": 2, "b": 1}, max_per_request=50)
     assert [(r.offer, r.count) for r in requests] == [(Offer("small", "b", True), 2), (Offer("small", "a", True), 1)]
-    assert plan_rentals(want, catalog, {"small": 3}, set(), {}, most=50) == []
+    assert plan_rentals(want, catalog, {"small": 3}, set(), {}, max_per_request=50) == []
 
 
 def test_plan_rentals_packs_small_jobs_onto_shared_machines():
     """Counted on one day of the fleet: about 200 rental requests, mostly for one machine, as each job made its own."""
     catalog = {"small": SMALL, "gpu": GPU}
     wants = [CapacityRequest(job(f"j-{n}"), 1) for n in range(12)]
-    requests = plan_rentals(wants, catalog, {"small": 1}, set(), {}, most=50)
+    requests = plan_rentals(wants, catalog, {"small": 1}, set(), {}, max_per_request=50)
     assert sum(r.count for r in requests) == 2, "each machine runs four tasks, and one machine is already rented"
 
 
@@ -150,7 +150,7 @@
         CapacityRequest(job("j-3", bay="a"), 4),
         CapacityRequest(gang, 2),
     ]
-    requests = plan_rentals(wants, catalog, {}, taken, {}, most=50)
+    requests = plan_rentals(wants, catalog, {}, taken, {}, max_per_request=50)
     assert [(r.offer.type, r.count) for r in requests] == [("small", 1), ("gpu", 2), ("small", 1)]
 
 
@@ -158,11 +158,13 @@
     catalog = {"small": SMALL, "gpu": GPU}
     taken = {Offer("small", z, s) for z in ("a", "b") for s in (False, True)}
     assert (
-        plan_rentals([CapacityRequest(job(fronds=99), 99, PriceLimit(0.1, True))], catalog, {}, taken, {}, most=50)
+        plan_rentals(
+            [CapacityRequest(job(fronds=99), 99, PriceLimit(0.1, True))], catalog, {}, taken, {}, max_per_request=50
+        )
         == []
     )
     requests = plan_rentals(
-        [CapacityRequest(job(fronds=99), 99, PriceLimit(0.1, False))], catalog, {}, taken, {}, most=50
+        [CapacityRequest(job(fronds=99), 99, PriceLimit(0.1, False))], catalog, {}, taken, {}, max_per_request=50
     )
     assert {r.offer.type for r in requests} == {"gpu"}
     assert sum(r.count for r in requests) == 5
@@ -181,10 +183,10 @@
     catalog = {"small": replace(SMALL, price=3.0, spot_price=1.0)}
     gone = {Offer("small", zone, True) for zone in SMALL.zones}
     want = CapacityRequest(job(driftwood=True), 12)
-    assert {r.offer.spot for r in plan_rentals([want], catalog, {}, gone, {}, most=50)} == {False}
-    assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, most=50) == []
+    assert {r.offer.spot for r in plan_rentals([want], catalog, {}, gone, {}, max_per_request=50)} == {False}
+    assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, max_per_request=50) == []
     catalog = {"small": replace(SMALL, price=2.5, spot_price=1.0)}
-    assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, most=50) != [], (
+    assert plan_rentals([want._replace(prefer_spot=True)], catalog, {}, gone, {}, max_per_request=50) != [], (
         "waiting for spot machines would save little"
     )
 
@@ -216,7 +218,7 @@
 def test_job_is_escalated_while_large_and_not_fully_started():
     large_jobs = LargeJobs({"red": Team("red", 4, 0, 100, None), "guest": Team("guest", 0, 0, None, None)})
     large, small = job(fronds=90), job("j-2", fronds=30)
-    large_jobs.note([large, small])
+    large_jobs.record([large, small])
     late, soon = timedelta(seconds=121), timedelta(seconds=119)
     assert large_jobs.is_escalated(large, 10, late)
     assert not large_jobs.is_escalated(large, 10, soon)
--- a/tests/test_stale_sessions.py
+++ b/tests/test_stale_sessions.py
@@ -75,7 +75,7 @@
 def report_to(holder, worker: WorkerStandIn) -> tuple[int, dict]:
     """Send a report of the worker to the holder and let the worker handle the response."""
     fields, sent_at = worker.report(), worker.world.clock.now
-    status, body = holder.check_in(orjson.dumps(fields))
+    status, body = holder.handle_report(orjson.dumps(fields))
     response = orjson.loads(body)
     worker.on_report_response(fields, sent_at, status, response)
     return status, response
@@ -180,6 +180,6 @@
     assert world.run(20, lambda: world.running("j-1") != []), "the new holder did not send the start again"
     world.run(1)
     holder = next(n for n in world.nodes.values() if n.blocks.own_grant("a"))
-    holder.check_in(copy)
+    holder.handle_report(copy)
     world.run(30)
     assert world.broken == []
--- a/tests/test_ticket_planning.py
+++ b/tests/test_ticket_planning.py
@@ -17,7 +17,7 @@
 from kelpjunction.cli import main
 from kelpjunction.tickets import job_template
 from kelpjunction.tickets.plan import (
-    MAX_TASKS,
+    MAX_TASKS_PER_STEP,
     Amount,
     Step,
     SubmissionOptions,
@@ -156,7 +156,7 @@
         "steps[1].hostRequirements.attributes[2].name",
         "steps[1].parameterSpace",
     ]
-    assert found[-1].endswith(f"a step has 1 to {MAX_TASKS} tasks (it is 1000000000)")
+    assert found[-1].endswith(f"a step has 1 to {MAX_TASKS_PER_STEP} tasks (it is 1000000000)")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -61,7 +61,7 @@
     holder.intake.abort("j-1")
     world.run(0.3)
     report = worker.report()
-    assert holder.check_in(orjson.dumps(report))[0] == 200
+    assert holder.handle_report(orjson.dumps(report))[0] == 200
     world.run(0.3)
     assert holder.job_index.jobs["j-1"].placed_count() == 1, (
         "the placement was settled although the start may still arrive under this token"
@@ -69,7 +69,7 @@
     del holder.blocks.issue_new_tokens
     world.run(0.3)
     worker.token = holder.blocks.own_token(worker.zone)
-    holder.check_in(orjson.dumps(worker.report()))
+    holder.handle_report(orjson.dumps(worker.report()))
     assert world.run(1, lambda: "j-1" not in holder.job_index.jobs), (
         "a higher token rules out the start, so the placement must be settled"
     )
@@ -81,7 +81,7 @@
     old_report = orjson.dumps(worker.report())
     world.submit("j-1", run_s=30.0)
     assert world.run(5, lambda: world.running("j-1") != [])
-    world.leader().check_in(old_report)
+    world.leader().handle_report(old_report)
     placement = next(world.leader().job_index.placements())
     assert placement.is_active and placement.was_reported
 
--- a/tests/test_write_rate_limiter.py
+++ b/tests/test_write_rate_limiter.py
@@ -222,16 +222,16 @@
 
 def test_rental_record_drops_settled_and_bounds_gone():
     page = RentalRecord({"r-1": {"n": 1}}, ("m-1", "m-2"), ("m-0",))
-    page = page.updated({"r-2": {"n": 2}}, {"r-1"}, ["m-3"], ["m-1"], room=2)
+    page = page.updated({"r-2": {"n": 2}}, {"r-1"}, ["m-3"], ["m-1"], max_gone=2)
     assert page == RentalRecord({"r-2": {"n": 2}}, ("m-2", "m-3"), ("m-0", "m-1"))
-    assert page.updated({}, (), (), ["m-2", "m-3"], room=2).gone == ("m-2", "m-3")
+    assert page.updated({}, (), (), ["m-2", "m-3"], max_gone=2).gone == ("m-2", "m-3")
     assert RentalRecord.of(page.record()) == page
 
 
 def test_pending_return_of_unknown_machine_is_completed():
     world = ready_world()
     leader = world.leader()
-    assert leader.fleet._write_rental_record(back=["n-000999"])
+    assert leader.fleet._write_rental_record(new_returns=["n-000999"])
     assert world.run(10, lambda: leader.inventory.rental_record.gone == ("n-000999",))
     assert leader.inventory.rental_record.pending_returns == ()
 
@@ -253,9 +253,9 @@
     world = ready_world()
     fleet = world.leader().fleet
     world.filter = lambda source, target, path: "held" if path == "/commit" else None
-    assert not fleet._write_rental_record(rent={"r-0": {"t": "plain", "z": "a", "s": False, "n": 1}})
+    assert not fleet._write_rental_record(new_rentals={"r-0": {"t": "plain", "z": "a", "s": False, "n": 1}})
     world.filter = lambda *_: None
-    assert fleet._write_rental_record(rent={"r-9": {"t": "plain", "z": "a", "s": False, "n": 1}})
+    assert fleet._write_rental_record(new_rentals={"r-9": {"t": "plain", "z": "a", "s": False, "n": 1}})
     world.deliver_late()
     assert set(world.store.data["l/cloud"][0]["rent"]) == {"r-9"}
 
