--- a/kelpjunction/daemon.py
+++ b/kelpjunction/daemon.py
@@ -347,7 +347,7 @@
             try:
                 loop()
             except Exception:
-                log.exception("a turn of %s failed", loop.__name__)
+                log.exception("iteration of loop %s failed", loop.__name__)
                 sleep(ERROR_RETRY_DELAY)
 
     def _on_leader_key_change(self, key: str, value: dict | None, version: int) -> None:
--- a/kelpjunction/tickets/gateway.py
+++ b/kelpjunction/tickets/gateway.py
@@ -182,7 +182,7 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         log.info("%s serves ticket users on %s", self._settings.name, self._settings.listen)
-        loops = [self._follow_jobs, self._follow_tickets, self._lead, self._reconcile, self._sweep]
+        loops = [self._follow_jobs, self._follow_tickets, self._lead, self._drive, self._sweep]
         gevent.joinall([gevent.spawn(self._run_loop, loop) for loop in loops])
 
     def _run_loop(self, loop: Callable[[], None]) -> None:
@@ -208,7 +208,7 @@
         self.gateway.leadership.run_once()
         sleep(self.gateway.leadership.heartbeat_interval if self.gateway.tickets.loaded else RECONCILE_INTERVAL)
 
-    def _reconcile(self) -> None:
+    def _drive(self) -> None:
         if not self.gateway.reconcile():
             sleep(RECONCILE_INTERVAL)
 
